--- a/kestreltrack/testing/harness/sender_process.py
+++ b/kestreltrack/testing/harness/sender_process.py
@@ -7,6 +7,7 @@
 import signal
 import sys
 from collections import deque
+from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
@@ -114,9 +115,14 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     async def signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal to the process, if it is running.
+
+        `Process.send_signal` polls the process first and reaps it if it has just ended; asyncio then reports an exit
+        status of 255 instead of the real one.
+        """
         if self.process and self.process.returncode is None:
-            self.process.send_signal(number)
+            with suppress(ProcessLookupError):
+                os.kill(self.process.pid, number)
 
     async def stop(self) -> None:
         """SIGTERM, and the end; killed if it does not come."""
