--- a/kestreltrack/frontend/__init__.py
+++ b/kestreltrack/frontend/__init__.py
@@ -1,5 +1,5 @@
-"""The clients' side: RESP2 on a socket.
+"""The frontend for clients: a RESP2 server over TCP.
 
-`server` accepts connections and bounds them, `session` is one connection, `request_handler` answers its requests,
-and `resp` is the grammar.
+`server` accepts connections and limits their number and lifetime, `session` holds the state of one connection,
+`request_handler` serves its requests, and `resp` parses commands and encodes replies.
 """
--- a/kestreltrack/frontend/request_handler.py
+++ b/kestreltrack/frontend/request_handler.py
@@ -1,4 +1,4 @@
-"""Answers the requests of a connection, one after the other.  What to answer comes from the delivery service."""
+"""Serves the requests of a connection one at a time and submits their messages to the delivery service."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 from kestreltrack.ports import Accepted, Clock, DeliveryService, InvalidMessage, Rejected
 from kestreltrack.telemetry import Telemetry
 
-# The share of the process's memory that commands may take while they are being read.
+# The share of the process's memory that commands may occupy while they are being read.
 COMMAND_MEMORY_SHARE = 0.125
-# So many large parts may be read at a time, however little memory there is.
+# The least number of large parts that may be read at the same time, however little memory there is.
 MIN_LARGE_PART_PERMITS = 8
-# Before the next command of a client that sends bad ones in a row: so long for each of them, up to the maximum.
+# The delay after a bad request grows by this for each consecutive one, up to the maximum.
 BAD_REQUEST_BACKOFF_S = 0.02
 MAX_BAD_REQUEST_BACKOFF_S = 0.5
 
 
 class RequestHandler:
-    """Reads a request, has the delivery service decide on it, and replies.
+    """Reads requests, submits their messages and writes the replies.
 
     Attributes:
-        evacuated: Whether clients are sent away: PING is answered with an error.
-        shutting_down: Set once the process ends: no message is handed in any more.
-        large_part_permits: Bounds the memory of commands that are being read.
+        evacuated: Whether clients are told to go elsewhere: PING is answered with an error.
+        shutting_down: Set when the process is about to exit: new messages are rejected.
+        large_part_permits: Limits the memory occupied by commands that are being read.
     """
 
     def __init__(
         self,
-        intake: DeliveryService,
+        delivery_service: DeliveryService,
         clock: Clock,
         ordered_classes: frozenset[str],
         memory_bytes: int,
         telemetry: Telemetry,
     ) -> None:
-        """Hand messages to `intake`; `memory_bytes` is what the process may use."""
-        self.intake = intake
+        """Submit messages to `delivery_service`; `memory_bytes` is the memory limit of the process."""
+        self.delivery_service = delivery_service
         self.clock = clock
         self.ordered_classes = ordered_classes
         self.telemetry = telemetry
@@ -56,19 +56,20 @@
         )
 
     async def serve_request(self, session: ClientSession) -> bool:
-        """Serve one request, and return whether the connection may have another.
+        """Serve one request, and return whether the connection can serve another.
 
         Raises:
-            EOFError: The connection has ended.
-            OSError: The connection broke.
+            EOFError: The client disconnected, or the connection is closing.
+            OSError: The connection failed.
         """
         bad_requests_before = session.consecutive_bad_requests
         try:
             parts = await read_command(session, session.begin_request, self.large_part_permits)
             session.begin_processing()
-            # One turn of the loop: many commands at once must not keep others waiting.  And after a stall the
-            # request of a client that has given up is still in the socket, with its end behind it: this turn reads
-            # that end, and the message is left to whoever has received it in the meantime.
+            # Yield once to the event loop, for two reasons.  Pipelined commands of one client must not delay other
+            # clients.  And after a stall of this process, the request of a client that has given up is still in
+            # the socket, followed by EOF: the yield lets the loop read that EOF, so that the message is not
+            # accepted here after its client has submitted it elsewhere.
             await asyncio.sleep(0)
             match parts[0].upper():
                 case b"PING":
@@ -99,15 +100,15 @@
             self.telemetry.record_fault("clients.disconnected")
             raise EOFError
         if self.shutting_down.is_set():
-            # The process ends before the message could be delivered.
+            # The process exits before the message could be delivered.
             await session.send_reply(encode_reply(Rejected()))
             return
-        result = await self.intake.submit(message)
+        result = await self.delivery_service.submit(message)
         if session.at_eof():
             self.telemetry.record_fault("clients.disconnected")
-            # A duplicate is the message of another request, whose client may have been answered.
+            # A duplicate belongs to an earlier request, whose client may already have been told that it is accepted.
             if isinstance(result, Accepted) and not result.duplicate:
-                self.intake.withdraw(message.id)
+                self.delivery_service.withdraw(message.id)
             raise EOFError
         if isinstance(result, InvalidMessage):
             await self._reply_error(session, result.reason)
@@ -120,7 +121,7 @@
         await session.send_reply(encode_reply(InvalidMessage(reason)))
 
     async def _back_off(self, session: ClientSession) -> None:
-        """Wait before the next command of a client that sends bad ones, unless the process ends."""
+        """Delay the next request of a client that sends bad ones; a shutdown ends the delay early."""
         backoff_s = min(MAX_BAD_REQUEST_BACKOFF_S, BAD_REQUEST_BACKOFF_S * session.consecutive_bad_requests)
         with suppress(TimeoutError):
             await asyncio.wait_for(self.shutting_down.wait(), backoff_s)
--- a/kestreltrack/frontend/resp.py
+++ b/kestreltrack/frontend/resp.py
@@ -1,6 +1,6 @@
-"""The grammar of the clients' protocol: commands in, replies out.
+"""Parses the commands of the client protocol and encodes its replies.
 
-A command is an array of bulk strings of RESP2 (https://redis.io/docs/latest/develop/reference/protocol-spec/).
+A command is a RESP2 array of bulk strings (https://redis.io/docs/latest/develop/reference/protocol-spec/).
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from kestreltrack.ports import Accepted, InvalidMessage, Message, Rejected, SubmitResult
 
 MAX_BODY_BYTES = 64 * 1024
-# All parts of a command together: a body, and the names beside it.
+# The total of all parts of one command: the body and 4 KiB for the other parts.
 MAX_COMMAND_BYTES = MAX_BODY_BYTES + 4096
-# A part beyond this waits until there is memory for it; as much of a connection is read ahead.
+# A larger part is read only while holding a memory permit.  This is also the read-ahead limit of a connection.
 LARGE_PART_BYTES = 4096
 MAX_PARTS = 16
-# A line holds a type and a length.
+# A line holds only a type character and a length.
 MAX_LINE_BYTES = 64
-# The parts of SUBMIT: the command, the ordering key, the id, the names and the body.
+# The command name, the ordering key, the message id, the attributes and the body.
 SUBMIT_PARTS = 5
-# Ordering keys are below this: the journal holds them as signed integers of 64 bits.
+# Ordering keys are less than this, because the journal stores them as signed 64-bit integers.
 ORDERING_KEY_LIMIT = 2**63
-# What an HTTP header may carry on to the endpoint.
+# Message ids and idempotency keys: printable ASCII without spaces, which can be sent in an HTTP header.
 TOKEN_PATTERN = re.compile(r"[!-~]{1,128}")
 DURATION_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,6})?")
 INTEGER_PATTERN = re.compile(r"[0-9]{1,18}")
@@ -32,30 +32,30 @@
 
 
 class FrontendError(Exception):
-    """A client's request cannot be served; the text is the reply to the client."""
+    """Base class: a client's request cannot be served.  The text is sent to the client as an error reply."""
 
 
 class ProtocolError(FrontendError):
-    """The bytes are no command.  Where the next one begins is unknown, so the connection has to end."""
+    """The bytes are not a valid command.  The start of the next one is unknown, so the connection is closed."""
 
 
 class InvalidCommandError(FrontendError):
-    """A well-formed command that cannot be served; the connection may go on."""
+    """A well-formed command that cannot be served; the connection stays open."""
 
 
 async def read_command(
     reader: asyncio.StreamReader, on_begin: Callable[[], None], large_part_permits: asyncio.Semaphore
 ) -> list[bytes]:
-    """Read one array of bulk strings.
+    """Read one command and return its parts.
 
     Args:
         reader: The connection.
-        on_begin: Called once the first line of the command has been read.
-        large_part_permits: Bounds how many parts beyond `LARGE_PART_BYTES` are held in memory at a time.
+        on_begin: Called when the first line of the command has been read.
+        large_part_permits: Limits how many parts larger than `LARGE_PART_BYTES` are read at the same time.
 
     Raises:
-        EOFError: The connection has ended.
-        ProtocolError: What comes is no command, or one that is too long.
+        EOFError: The client closed the connection.
+        ProtocolError: The bytes are not a command, or the command exceeds a limit.
     """
     try:
         count = await _read_length(reader, b"*")
@@ -71,7 +71,7 @@
     except asyncio.IncompleteReadError as error:
         raise EOFError from error
     except ValueError as error:
-        # From the reader: a line beyond its limit.
+        # `StreamReader.readline` raises ValueError if a line exceeds the read-ahead limit.
         raise ProtocolError("a line is too long") from error
     return parts
 
@@ -102,21 +102,25 @@
 
 
 def parse_submission(parts: list[bytes], now_ms: float, ordered_classes: frozenset[str]) -> Message:
-    """Return the message of ``SUBMIT KEY ID NAMES BODY``.
+    """Return the message of ``SUBMIT KEY ID ATTRIBUTES BODY``.
+
+    ATTRIBUTES, "names" in error replies, is a list of ``name=value`` separated by commas: the class ``c``, the
+    destination ``dest``, the time until expiry ``d`` in milliseconds, and optionally the tenant ``t`` and the
+    idempotency key ``k``.
 
     Args:
-        parts: The parts of the command.
-        now_ms: The time on the clock of the message's deadline.
-        ordered_classes: The classes whose messages are delivered in the order of their key.
+        parts: The parts of the command, including its name.
+        now_ms: The current time of the clock by which the message expires, in milliseconds.
+        ordered_classes: The classes that deliver messages with the same ordering key in order.
 
     Raises:
-        InvalidCommandError: The command lacks something, or holds what cannot be read.
+        InvalidCommandError: A part or an attribute is missing or malformed.
     """
     if len(parts) != SUBMIT_PARTS:
         raise InvalidCommandError("SUBMIT takes a key, an id, names and a body")
     try:
-        key, id_, names = (part.decode("ascii") for part in parts[1:4])
-        fields = dict(part.split("=", 1) for part in names.split(","))
+        key, id_, attributes = (part.decode("ascii") for part in parts[1:4])
+        fields = dict(part.split("=", 1) for part in attributes.split(","))
     except ValueError as error:
         raise InvalidCommandError("the key, id or names cannot be read") from error
     dest = int(_number_field(fields, "dest", INTEGER_PATTERN))
@@ -137,7 +141,7 @@
 
 
 def _number_field(fields: Mapping[str, str], name: str, pattern: re.Pattern[str]) -> str:
-    """Return the text of a number in plain decimal form: no sign, blank, exponent or name."""
+    """Return the text of a decimal number; signs, spaces, exponents and names such as ``nan`` are invalid."""
     value = fields.get(name, "")
     if not pattern.fullmatch(value):
         raise InvalidCommandError(f"{name} is missing or not a number")
@@ -145,7 +149,7 @@
 
 
 def _parse_ordering_key(key: str) -> int:
-    """Return the number of a key in plain hexadecimal form."""
+    """Parse a hexadecimal ordering key; signs, spaces, underscores and prefixes are invalid."""
     ordering_key = int(key, 16) if ORDERING_KEY_PATTERN.fullmatch(key) else ORDERING_KEY_LIMIT
     if ordering_key >= ORDERING_KEY_LIMIT:
         raise InvalidCommandError("the key is not a number that can be kept")
@@ -153,7 +157,7 @@
 
 
 def encode_reply(result: SubmitResult) -> bytes:
-    """Return the reply to a client that handed a message in."""
+    """Encode the reply to a SUBMIT command."""
     match result:
         case Accepted():
             return b"+OK\r\n"
--- a/kestreltrack/frontend/server.py
+++ b/kestreltrack/frontend/server.py
@@ -1,4 +1,4 @@
-"""Accepts clients on a listening socket, and bounds how many connections there are and for how long."""
+"""Accepts client connections and limits their number and lifetime."""
 
 from __future__ import annotations
 
@@ -13,38 +13,40 @@
 from kestreltrack.ports import Clock, DeliveryService, Rejected
 from kestreltrack.telemetry import Telemetry
 
-# Connections that wait in the kernel, as a share of the limit.  uvloop accepts one a turn, so that the one over the
-# limit can be closed before the next comes.
+# The listen backlog as a share of the connection limit.  uvloop accepts one connection per iteration of the event
+# loop, so that a connection over the limit can be closed before the next one is accepted.
 BACKLOG_SHARE = 0.5
-# Of each socket: what one client can make this process hold at a time.
+# Per connection: limits how much unread data of one client the kernel buffers.
 RECEIVE_BUFFER_BYTES = 32 * 1024
 SWEEP_INTERVAL_S = 0.25
-# A graceful shutdown waits so long, twice, for the answers to what has been read.
+# How long `shut_down` waits for replies to requests that have been read; a graceful shutdown calls it twice.
 SHUTDOWN_TIMEOUT_S = 0.1
 SHUTDOWN_POLL_S = 0.002
 
 
 class FrontendServer:
-    """Accepts clients and serves the requests of each connection in turn.
+    """Accepts connections and serves the requests of each one in order.
 
     Attributes:
-        max_connections: How many connections are held at the most.
-        request_handler: Answers the requests.
+        max_connections: The maximum number of open connections.
+        request_handler: Serves the requests.
     """
 
     def __init__(
         self,
-        intake: DeliveryService,
+        delivery_service: DeliveryService,
         clock: Clock,
         ordered_classes: frozenset[str],
         max_connections: int,
         memory_bytes: int,
         telemetry: Telemetry,
     ) -> None:
-        """Hand messages to `intake`; `memory_bytes` is what the process may use."""
+        """Submit messages to `delivery_service`; `memory_bytes` is the memory limit of the process."""
         self.max_connections = max_connections
         self.telemetry = telemetry
-        self.request_handler = RequestHandler(intake, clock, ordered_classes, memory_bytes, telemetry)
+        self.request_handler = RequestHandler(
+            delivery_service, clock, ordered_classes, memory_bytes, telemetry
+        )
         self._sessions: dict[ClientSession, asyncio.Task[None]] = {}
         self._server: asyncio.Server | None = None
         self._sweep_task: asyncio.Task[None] | None = None
@@ -52,11 +54,11 @@
         self._listening = False
 
     async def start(self, address: str) -> str:
-        """Listen, and return the address with the port that was bound.
+        """Listen on an address, and return the bound host and port.
 
         Raises:
-            OSError: The address cannot be listened on.
-            UnicodeError: The host is no name that can be looked up.
+            OSError: Binding or listening on the address failed.
+            UnicodeError: The host name cannot be encoded for a lookup.
         """
         listener = _open_listener(address)
         self._server = await asyncio.get_running_loop().create_server(
@@ -70,38 +72,41 @@
         return f"{host}:{port}"
 
     def accepts_clients(self) -> bool:
-        """Return whether clients are accepted: listening, neither evacuated nor closing (readiness)."""
+        """Return whether the frontend is ready: listening, and neither evacuated nor draining."""
         return self._listening and not self.request_handler.evacuated and not self._draining
 
     def evacuate(self, evacuated: bool) -> None:
-        """Send clients away, or accept them again; open requests are served, and connections end once idle."""
+        """Turn evacuation on or off; while on, open requests are served and each idle connection is closed."""
         self.request_handler.evacuated = evacuated
         if evacuated:
             self._close_idle()
 
     def has_open_requests(self) -> bool:
-        """Return whether a request has been read and not been answered."""
+        """Return whether any connection still owes the reply to a request."""
         return any(
             not (session.can_close() or session.lingering or session.is_closing())
             for session in self._sessions
         )
 
     async def drain(self) -> None:
-        """Accept no new connections; end each one as soon as it has no open request."""
+        """Stop accepting connections, and close each open one as soon as it has no open request."""
         self._draining = True
         if self._server:
             self._server.close()
         self._close_idle()
 
     async def shut_down(self) -> None:
-        """Read nothing more, answer within `SHUTDOWN_TIMEOUT_S` what has been read, and close all connections."""
+        """Stop reading, reply within `SHUTDOWN_TIMEOUT_S` to what has been read, and close the connections.
+
+        A request that is still being processed at the timeout keeps its connection until the next call.
+        """
         loop = asyncio.get_running_loop()
         self.request_handler.shutting_down.set()
         deadline = loop.time() + SHUTDOWN_TIMEOUT_S
         for session in self._sessions:
             session.stop_reading()
         while self._sessions and loop.time() < deadline:
-            # First of all the sessions look at what has just been read.
+            # Lets the sessions process what has just been read before any of them is taken for idle or stalled.
             await asyncio.sleep(SHUTDOWN_POLL_S)
             self._close_idle()
             for session in self._sessions:
@@ -115,16 +120,16 @@
                 session.close()
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Register a new connection before anything of it can be read."""
+        """Register a new connection before any of its data can be read."""
         assert isinstance(reader, ClientSession)
         reader.writer = writer
         self._sessions[reader] = asyncio.create_task(self._serve(reader))
         self._enforce_connection_limit(reader)
 
     async def _serve(self, session: ClientSession) -> None:
-        """Serve the requests of a connection until it ends."""
+        """Serve the requests of a connection until it is closed."""
         try:
-            # The client may close or reset it at any time.
+            # The client may close or reset the connection at any time.
             with suppress(OSError, EOFError):
                 is_first = True
                 while not self._must_close(session, is_first) and await self.request_handler.serve_request(
@@ -133,7 +138,7 @@
                     is_first = False
             if not session.lingering:
                 session.close_lingering()
-            # Until then the connection has its descriptor.
+            # The connection occupies a descriptor, and so counts against the limit, until the transport is closed.
             with suppress(OSError):
                 await session.writer.wait_closed()
         finally:
@@ -141,21 +146,24 @@
             session.writer.close()
 
     def _must_close(self, session: ClientSession, is_first: bool) -> bool:
-        """Return whether a connection ends now: while draining, or after its first request while evacuated."""
+        """Return whether to close an idle connection: while draining, or after its first request if evacuated."""
         return session.can_close() and (self._draining or (self.request_handler.evacuated and not is_first))
 
     def _is_stalled(self, session: ClientSession) -> bool:
-        """Return whether a partial command waits for its rest or for memory; one just completed is not stalled."""
+        """Return whether a partial command waits for data from the client or for a memory permit.
+
+        A command whose last bytes have been read, but not processed yet, is not stalled.
+        """
         return session.has_partial_command() and (
             session.is_awaiting_data() or self.request_handler.large_part_permits.locked()
         )
 
     def _enforce_connection_limit(self, newcomer: ClientSession) -> None:
-        """Over the limit, end the connection whose end costs least.
+        """Close one connection if there are more than the limit.
 
-        That is one that lingers, else one between requests, first of all one that never had a request, else the
-        oldest partial command.  At worst the new connection is closed unread: that is a message rejected, and lost
-        where it happens often.
+        The choice is, in this order: a lingering connection; an idle one, preferably one that has not served a
+        request yet; the one with the oldest partial command; the new one.  The new connection comes last because
+        closing it unread rejects a message, which is lost if that happens to its client repeatedly.
         """
         sessions = [session for session in self._sessions if not session.is_closing()]
         if len(sessions) <= self.max_connections:
@@ -174,13 +182,13 @@
         if stalled:
             oldest = min(stalled, key=lambda session: session.deadline)
             oldest.expire()
-            # Without lingering: its place is needed now.
+            # Closes without lingering, because the new connection needs the descriptor now.
             oldest.close()
             return
         newcomer.close()
 
     async def _sweep(self) -> None:
-        """End connections past their deadline, which take up a place and no more."""
+        """Periodically close connections whose deadline has passed, so that they do not use up the limit."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
@@ -193,7 +201,7 @@
                 self._end_expired(session)
 
     def _end_expired(self, session: ClientSession) -> None:
-        """End an idle connection, a partial command or a reply that is not taken."""
+        """Close an expired connection that is idle, stalled in a command, or has a reply the client does not read."""
         if session.can_close():
             self.telemetry.count("clients.idle_closed")
             session.close()
@@ -203,14 +211,14 @@
 
 
 def _open_listener(address: str) -> socket.socket:
-    """Return a socket that is bound to an address and does not listen yet."""
+    """Return a socket that is bound to an address but not yet listening."""
     host, port = split_address(address)
     listener = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # A new version listens beside this process while it still serves (graceful restart).
+    # In a graceful restart the new process listens on the same address while the old one still serves.
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-    # Connections inherit it.  A small answer that the system holds back is lost with a reset that follows it.
+    # Inherited by accepted connections.  A small reply that the kernel delays is lost if a reset follows it.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     listener.bind((host, port))
     return listener
--- a/kestreltrack/frontend/session.py
+++ b/kestreltrack/frontend/session.py
@@ -1,4 +1,4 @@
-"""One client's connection: how far its request is, until when something has to happen, and how it ends."""
+"""The state of one client connection: the phase of its current request, its deadline, and how it is closed."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from kestreltrack.frontend.resp import LARGE_PART_BYTES, encode_reply
 from kestreltrack.ports import InvalidMessage
 
-# A connection without a request may be closed after 2 s; a silent one has to be within 3 s.
+# An idle connection may be closed after 2 s, and must be closed within 3 s.
 IDLE_TIMEOUT_S = 2.25
-# For a command to be read completely, and for a reply to be taken by the client.
+# The limit for receiving a complete command, and for the client to read a reply.
 COMMAND_TIMEOUT_S = 2.0
-# Between the last answer and the close: the system may hold the answer back for the client's delayed
+# The delay between the last reply and the close: the kernel may hold the reply back until the client's delayed
 # acknowledgement, 40 ms.
 FLUSH_DELAY_S = 0.1
-# Between the last answer to a client whose bytes cannot be read as commands, and the close.
+# The delay between the last reply and the close if the client's bytes cannot be parsed as commands.
 LINGER_TIMEOUT_S = 0.5
-# How much of such a client is read and discarded before the connection is aborted.
+# How many bytes of such a client are read and discarded before the connection is aborted.
 MAX_DISCARD_BYTES = 1 << 20
 
 
 class RequestPhase(Enum):
-    """How far a connection's current request is."""
+    """The phase of a connection's current request."""
 
-    # Between requests; bytes of the next may have been read from the socket.
+    # No request is being served; bytes of the next one may already be in the read buffer.
     IDLE = auto()
-    # The first line of a command has been read, the rest is awaited.
+    # The first line of a command has been read; the rest has not.
     READING = auto()
-    # The command has been read; the reply is this side's to give, however long that takes.
+    # The command has been read and its reply is pending.  This phase has no timeout.
     PROCESSING = auto()
-    # The reply has been written; the client has to take it.
+    # The reply has been written; the client has to read it.
     REPLYING = auto()
 
 
-# The phase changes several times a request, and Python 3.11 takes ten times as long to find a member in its class.
+# The phase changes several times per request, and in Python 3.11 looking up an enum member takes ten times as long.
 _IDLE = RequestPhase.IDLE
 _READING = RequestPhase.READING
 _PROCESSING = RequestPhase.PROCESSING
@@ -45,19 +45,19 @@
 
 
 class ClientSession(asyncio.StreamReader):
-    """One client's connection, and the one place that decides whether it may end now.
+    """One client connection; only this class decides whether it can be closed now.
 
-    A request that has been read from the socket has to be answered.  One that has not been read need not be: a
-    client whose request was still in the socket sends it again.  Nothing is read between that decision and the close
-    in the same turn of the event loop.
+    A request that has been read from the socket must be answered.  One that is still in the socket need not be,
+    because its client sends it again when the connection is closed.  The decision and the close happen in the same
+    iteration of the event loop, so that nothing is read between them.
 
     Attributes:
-        writer: The other direction; set before anything is read.
-        phase: How far the current request is.
-        deadline: Until when the client has to act, on the loop's clock in seconds; infinite while processing.
-        has_served: Whether a request has been answered.
-        consecutive_bad_requests: How many requests in a row were malformed or could not be served.
-        lingering: Whether the last answer has been given; nothing that comes is handed on.
+        writer: The writing side of the connection; set before any data is read.
+        phase: The phase of the current request.
+        deadline: When the client must have acted, in seconds of the loop's clock; infinite while processing.
+        has_served: Whether a request has been served successfully.
+        consecutive_bad_requests: The number of consecutive requests that were malformed or could not be served.
+        lingering: Whether the connection is about to close after its last reply; received data is ignored.
     """
 
     writer: asyncio.StreamWriter
@@ -72,7 +72,7 @@
         self.become_idle()
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
-        """Take what the event loop has read from the socket."""
+        """Buffer data that the event loop has read from the socket; discard it while lingering."""
         if self.lingering:
             self._discarded_bytes += len(bytes(data))
             if self._discarded_bytes > MAX_DISCARD_BYTES:
@@ -83,39 +83,39 @@
         super().feed_data(data)
 
     def feed_eof(self) -> None:
-        """Take the end of what the client sends."""
+        """Note that the client sends no more; a lingering connection is closed."""
         self._eof_received = True
         super().feed_eof()
         if self.lingering:
             self.close()
 
     def is_awaiting_data(self) -> bool:
-        """Return whether the reader of requests has looked at all that came, and waits for more."""
+        """Return whether the request handler has consumed the buffered data it can use and waits for more."""
         return self._waiter is not None  # type: ignore[attr-defined]
 
     def become_idle(self) -> None:
-        """Begin the time between requests; the next request may have been read already."""
+        """Enter the idle phase; bytes of the next request may already be buffered."""
         self.phase = _IDLE
         timeout_s = COMMAND_TIMEOUT_S if self._has_unread_bytes() else IDLE_TIMEOUT_S
         self.deadline = self._loop_time() + timeout_s
 
     def begin_request(self) -> None:
-        """Begin a request: the connection must not be closed before it is answered."""
+        """Enter the reading phase: from now on a reply is owed before the connection is closed."""
         self.phase = _READING
         self.deadline = self._loop_time() + COMMAND_TIMEOUT_S
 
     def begin_processing(self) -> None:
-        """Take the request as read completely: from here on the client waits for this side."""
+        """Enter the processing phase once the command is complete; the client has no deadline in it."""
         self.phase = _PROCESSING
         self.deadline = math.inf
 
     def begin_reply(self) -> None:
-        """Begin the reply, which the client has to take in time."""
+        """Enter the replying phase, in which the client has to read the reply by the deadline."""
         self.phase = _REPLYING
         self.deadline = self._loop_time() + COMMAND_TIMEOUT_S
 
     async def send_reply(self, data: bytes) -> None:
-        """Write a reply, and return once the client takes it.
+        """Write a reply, and wait until the write buffer has drained enough to continue.
 
         Raises:
             EOFError: The connection is closing; the reply is not written.
@@ -127,21 +127,24 @@
         await self.writer.drain()
 
     def is_closing(self) -> bool:
-        """Return whether it is closed: its descriptor is freed within a turn or two, or with the last answer."""
+        """Return whether the connection is being closed.
+
+        Its descriptor is released within an iteration or two of the event loop, or after the last reply is flushed.
+        """
         return self.writer.is_closing()
 
     def can_close(self) -> bool:
-        """Return whether no answer is owed: between requests, and not a byte of the next has been read."""
+        """Return whether no reply is owed: the connection is idle and no byte of the next request has been read."""
         return self.phase is _IDLE and not self._has_unread_bytes()
 
     def has_partial_command(self) -> bool:
-        """Return whether a command has begun and has not been read completely."""
+        """Return whether only a part of a command has been read."""
         if self.phase is _IDLE:
             return self._has_unread_bytes() and self.is_awaiting_data()
         return self.phase is _READING
 
     def close(self) -> None:
-        """Close it once the last answer is written; for a client that does not take it, after a timeout."""
+        """Close the connection once the last reply is flushed, or abort it if the client does not read it in time."""
         if self.is_closing():
             return
         if self.writer.transport.get_write_buffer_size():
@@ -149,25 +152,25 @@
         self.writer.close()
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection at once, dropping unsent data."""
         self.writer.transport.abort()
 
     def close_lingering(self, discard: bool = False) -> None:
-        """Write no more, and close once the last answers have been sent.
+        """Shut down the writing side, and close the connection after a delay in which the last replies are sent.
 
-        A close over unread bytes resets the connection, and answers that the system still holds back are lost with
-        it.  So what comes is left in the socket for a moment; its client sends it again.
+        Closing a socket with unread data resets the connection, and the reset drops replies that the kernel has not
+        sent yet.  By default, data that arrives during the delay stays in the socket; its client sends it again.
 
         Args:
-            discard: For a client whose bytes cannot be read as commands: they are read and discarded, for longer.
-                No request can be told from the rest of them.
+            discard: Whether to read and discard data during the delay, which is longer then.  This is for a client
+                whose bytes cannot be parsed as commands, since no request can be recognized in the rest of them.
         """
         if self._eof_received or self.is_closing():
             self.close()
             return
         self.lingering = True
         self.writer.write_eof()
-        # Ends the reader of requests.
+        # Makes the request handler stop with EOFError.
         super().feed_eof()
         if discard:
             self.writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -177,7 +180,7 @@
         asyncio.get_running_loop().call_later(delay_s, self.close)
 
     def expire(self) -> None:
-        """End a connection whose deadline has passed: answer a partial command, give up a reply that is not taken."""
+        """Close a connection past its deadline: abort an unread reply, answer a partial command with an error."""
         if self.phase is _REPLYING:
             self.abort()
         else:
@@ -185,14 +188,14 @@
             self.close_lingering(discard=True)
 
     def stop_reading(self) -> None:
-        """Leave in the socket what has not been read so far."""
+        """Stop reading; data that has not been read yet stays in the socket."""
         self.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        # Else the stream resumes reading once its buffer has room.
+        # Otherwise the stream would resume reading by itself when its buffer has space.
         self._paused = False
 
     def _loop_time(self) -> float:
         return asyncio.get_running_loop().time()
 
     def _has_unread_bytes(self) -> bool:
-        """Return whether bytes have been read from the socket that no request has taken."""
+        """Return whether the read buffer holds bytes that no request has consumed."""
         return bool(self._buffer)  # type: ignore[attr-defined]
