--- a/kestreltrack/journal/__init__.py
+++ b/kestreltrack/journal/__init__.py
@@ -1,4 +1,4 @@
-"""The durable record of accepted messages."""
+"""The durable journal of accepted messages."""
 
 from kestreltrack.journal.errors import InvalidRecordError, JournalError, JournalFullError
 from kestreltrack.journal.journal import Journal
--- a/kestreltrack/journal/codec.py
+++ b/kestreltrack/journal/codec.py
@@ -1,16 +1,16 @@
-"""The stored form of the journal's records.  Its names are fixed, whatever the program calls its fields.
+"""Encodes and decodes journal records.  The stored names are fixed and independent of the names in the code.
 
-A record is one line, ``CRC JSON``: the CRC-32 of the JSON text in 8 hexadecimal digits, and an object whose member
-`t` is the kind of the record:
+A record is one line, ``CRC JSON``: the CRC-32 of the JSON text as 8 hexadecimal digits, and a JSON object whose
+member `t` is the type of the record:
 
 `held`      a message with its history
-`claim`     an attempt of a message begins
+`claim`     an attempt to deliver a message starts
 `outcome`   the attempt in flight has ended
-`owed`      the end of a message is decided, and the platform is still to be notified
+`owed`      how a message ends is decided, but the platform has not been notified yet
 `end`       the lifecycle of a message has ended
 `list`      the complete endpoint list
-`change`    what changes of the endpoint list
-`turned`    the messages of this file are in reverse order (`takeover.py`)
+`change`    changes to the endpoint list
+`turned`    the messages in this file are in reverse order (`takeover.py`)
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
 
 
 def encode_message(outstanding: OutstandingMessage) -> bytes:
-    """Return the record of a message with its history."""
+    """Encode a message with its history."""
     message = outstanding.message
-    notification = outstanding.owed_notification
+    notification = outstanding.pending_notification
     return _encode(
         {
             "t": "held",
@@ -60,17 +60,17 @@
 
 
 def encode_attempt_start(message_id: str, start: AttemptStart) -> bytes:
-    """Return the record of an attempt that begins."""
+    """Encode the start of an attempt."""
     return _encode({"t": "claim", "id": message_id, "at": start.at, "zone": start.zone})
 
 
 def encode_attempt_end(message_id: str, outcome: Outcome) -> bytes:
-    """Return the record of the outcome of the attempt in flight."""
+    """Encode the outcome of the attempt in flight."""
     return _encode({"t": "outcome", "id": message_id, "outcome": outcome.value})
 
 
-def encode_owed_notification(notification: StatusNotification) -> bytes:
-    """Return the record of an end that is decided, and of which the platform is still to be notified."""
+def encode_pending_notification(notification: StatusNotification) -> bytes:
+    """Encode a status notification that the platform has not received yet."""
     return _encode(
         {
             "t": "owed",
@@ -82,36 +82,37 @@
 
 
 def encode_completion(message_id: str) -> bytes:
-    """Return the record of the end of a message's lifecycle."""
+    """Encode the end of a message's lifecycle."""
     return _encode({"t": "end", "id": message_id})
 
 
 def encode_endpoints(update: EndpointListUpdate) -> bytes:
-    """Return the record of the complete endpoint list, or of what changes of it."""
-    # The entries are stored under the names of their fields: orjson writes them several times faster itself.
+    """Encode the complete endpoint list, or changes to it."""
+    # orjson serializes the endpoint dataclasses itself, which is several times faster than building dicts here; the
+    # stored names are therefore those of the fields.
     row = {"rev": update.revision, "whole": update.complete, "machines": update.endpoints}
     return _encode({"t": "list" if update.complete else "change", "list": row})
 
 
 def encode_reversed_order() -> bytes:
-    """Return the record that marks a file whose messages are in reverse order."""
+    """Encode the marker of a file whose messages are in reverse order."""
     return _encode({"t": "turned"})
 
 
 def decode_record(line: bytes) -> Record:
-    """Return the record of one line, given without its line end.
+    """Decode one line, given without its newline.
 
     Raises:
-        InvalidRecordError: The line is damaged, or holds what this version does not know.
+        InvalidRecordError: The checksum does not match, or this version does not know the form of the record.
     """
     checksum, _, text = line.partition(b" ")
     if checksum != b"%08x" % zlib.crc32(text):
-        raise InvalidRecordError("the checksum is wrong")
+        raise InvalidRecordError("checksum mismatch")
     try:
         row = orjson.loads(text)
-        return _PARSERS[row["t"]](row)
+        return _PARSERS_BY_TYPE[row["t"]](row)
     except (ValueError, KeyError, TypeError) as error:
-        raise InvalidRecordError(f"a record of unknown form: {error!r}") from error
+        raise InvalidRecordError(f"invalid record: {error!r}") from error
 
 
 def _encode(row: dict[str, Any]) -> bytes:
@@ -155,7 +156,7 @@
         attempts=row["tries"],
         in_flight=_parse_attempt_start(row["out"]) if row["out"] else None,
         ambiguous=_parse_attempt_start(row["doubt"]) if row["doubt"] else None,
-        owed_notification=_parse_notification(row["owed"]) if row["owed"] else None,
+        pending_notification=_parse_notification(row["owed"]) if row["owed"] else None,
     )
 
 
@@ -167,7 +168,7 @@
     return AttemptEnded(row["id"], Outcome(row["outcome"]))
 
 
-def _parse_owed_notification(row: dict[str, Any]) -> StatusNotification:
+def _parse_pending_notification(row: dict[str, Any]) -> StatusNotification:
     return StatusNotification(row["id"], row["requeue"], row["wait_ms"])
 
 
@@ -188,11 +189,11 @@
     return OrderReversed()
 
 
-_PARSERS: dict[str, Callable[[dict[str, Any]], Record]] = {
+_PARSERS_BY_TYPE: dict[str, Callable[[dict[str, Any]], Record]] = {
     "held": _parse_message,
     "claim": _parse_attempt_started,
     "outcome": _parse_attempt_ended,
-    "owed": _parse_owed_notification,
+    "owed": _parse_pending_notification,
     "end": _parse_completion,
     "list": _parse_endpoints,
     "change": _parse_endpoints,
--- a/kestreltrack/journal/errors.py
+++ b/kestreltrack/journal/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the journal."""
+"""Exceptions of the journal."""
 
 from __future__ import annotations
 
 
 class JournalError(Exception):
-    """Base of all errors of the journal."""
+    """Base class of the journal's exceptions."""
 
 
 class JournalFullError(JournalError):
-    """The folder has no room for a record or a process, or a write failed; nothing of the record is in the file."""
+    """No space for a record, no free slot for a process, or a failed write; no part of the record is in the file."""
 
 
 class InvalidRecordError(JournalError):
-    """A line of the file is not a record that this version can apply."""
+    """A line of the journal is not a record that this version can apply."""
--- a/kestreltrack/journal/journal_file.py
+++ b/kestreltrack/journal/journal_file.py
@@ -1,6 +1,6 @@
-"""The file of one slot: it is appended to, and replaced as a whole when it is compacted.
+"""The journal file of one slot: records are appended, and a compaction replaces the whole file.
 
-Plain writes: the platform preserves what was written, with no `fsync`.
+There is no `fsync`: the platform preserves what was written.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class JournalFile:
-    """The file of one slot, with its length in bytes; it is open from the first `replace` until `close`."""
+    """The journal file of one slot; open from the first `replace` until `close`."""
 
     def __init__(self, folder: Path, slot: str) -> None:
-        """Remove an unfinished replacement, whose process ended before it was in place.  Raises `OSError`."""
+        """Remove an unfinished replacement that an earlier process of the slot left.  Raises `OSError`."""
         self.path = folder / slot
         self.size_bytes = 0
         self.is_open = False
@@ -25,18 +25,18 @@
         self._replacement_path.unlink(missing_ok=True)
 
     def append(self, data: bytes) -> None:
-        """Write at the end: all of `data` or nothing.  Raises `JournalFullError`."""
+        """Append all of `data` or nothing.  Raises `JournalFullError`."""
         _write_or_truncate(self._fd, data, self.size_bytes)
         self.size_bytes += len(data)
 
     def replace(self, data: bytes) -> None:
-        """Put a new file with this content in place of the old one.
+        """Replace the file by one that contains `data`.
 
-        Raises `JournalFullError` where that fails; the old file stays then, and is still open.
+        Raises `JournalFullError` if that fails; the old file then stays in place and open.
         """
         try:
             fd = os.open(self._replacement_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
-        except OSError as error:  # there is no descriptor left, for example
+        except OSError as error:  # for example, no file descriptor is left
             raise JournalFullError(str(error)) from error
         try:
             _write_or_truncate(fd, data, 0)
@@ -55,23 +55,24 @@
         self.size_bytes = len(data)
 
     def close(self) -> None:
-        """Close the file; nothing is written after this."""
+        """Close the file.  Nothing may be written afterwards."""
         os.close(self._fd)
-        # The kernel gives the number to the next file that is opened: that may be a connection.
+        # The kernel reuses the descriptor number for the next file that is opened, possibly a connection.
         self._fd = -1
         self.is_open = False
 
 
 def _write_or_truncate(fd: int, data: bytes, offset: int) -> None:
-    """Write all of `data` at the end of a file of `offset` bytes, or cut the file back to that length."""
+    """Append all of `data` to a file of `offset` bytes, or truncate the file to that length."""
     try:
-        if os.write(fd, data) == len(data):
+        written = os.write(fd, data)
+        if written == len(data):
             return
-        reason = "a short write"
+        reason = f"short write: {written} of {len(data)} bytes"
     except OSError as error:
         reason = str(error)
     try:
-        os.ftruncate(fd, offset)  # half a record would make the one behind it unreadable
+        os.ftruncate(fd, offset)  # a partial record would corrupt the next one
     except OSError as error:
-        reason = f"{reason}, and {error}"
+        reason = f"{reason}; truncating the file failed: {error}"
     raise JournalFullError(reason)
--- a/kestreltrack/journal/records.py
+++ b/kestreltrack/journal/records.py
@@ -1,4 +1,4 @@
-"""Records of the journal, as types: messages with their attempts, their ends, and the endpoint list.  No I/O."""
+"""Record types of the journal: messages, their attempts and outcomes, and the endpoint list.  No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class AttemptStart:
-    """When (in milliseconds, on the sender's clock) and in which zone an attempt began."""
+    """When an attempt started (in milliseconds on the sender's clock), and the zone of its endpoint."""
 
     at: float
     zone: str
@@ -23,29 +23,30 @@
 
     message: Message
     attempts: int = 0
-    # The attempt that has no outcome yet.
+    # The attempt without an outcome so far.
     in_flight: AttemptStart | None = None
-    # The first attempt whose outcome is ambiguous: it may have executed.
+    # The first attempt with an ambiguous outcome: the endpoint may have executed it.
     ambiguous: AttemptStart | None = None
-    # The end is decided, and the platform is still to be notified of it.
-    owed_notification: StatusNotification | None = None
-    # Bytes of the file that are set aside for all records of this message.
+    # Set once it is decided how the message ends, until the platform has been notified.
+    pending_notification: StatusNotification | None = None
+    # Bytes of the file reserved for all records of this message.
     reserved_bytes: int = 0
 
     def first_ambiguous(self) -> AttemptStart | None:
-        """Return the first attempt that may have executed, also where it is still in flight."""
+        """Return the first attempt that may have executed, including one in flight."""
         return self.ambiguous or self.in_flight
 
     def start_attempt(self, start: AttemptStart) -> None:
-        """Note that an attempt has begun."""
+        """Apply the start of an attempt."""
         self.attempts += 1
-        # One that was in flight when a process died has no outcome, and stays the first that may have executed.
+        # An attempt that was in flight when a process crashed never gets an outcome.  It may have executed, and stays
+        # the first ambiguous one.
         if self.ambiguous is None:
             self.ambiguous = self.in_flight
         self.in_flight = start
 
     def end_attempt(self, outcome: Outcome) -> None:
-        """Note the outcome of the attempt in flight."""
+        """Apply the outcome of the attempt in flight."""
         if self.ambiguous is None and outcome.may_have_executed():
             self.ambiguous = self.in_flight
         self.in_flight = None
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True)
 class AttemptStarted:
-    """An attempt of a message begins: written before its first byte is sent."""
+    """An attempt starts; recorded before its first byte is sent."""
 
     message_id: str
     start: AttemptStart
@@ -61,7 +62,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The attempt of a message that was in flight has an outcome."""
+    """The attempt in flight has an outcome."""
 
     message_id: str
     outcome: Outcome
@@ -69,17 +70,17 @@
 
 @dataclass(slots=True)
 class MessageCompleted:
-    """The lifecycle of a message has ended, and nothing more is owed."""
+    """The lifecycle of a message has ended: no attempt or notification is pending."""
 
     message_id: str
 
 
 @dataclass(slots=True)
 class OrderReversed:
-    """The messages of this file are in reverse order: the one accepted last comes first."""
+    """The messages in this file are in reverse order: within an ordering key, the last accepted comes first."""
 
 
-# An `OutstandingMessage` is a message with its history so far, a `StatusNotification` one that is owed.
+# `OutstandingMessage` records a message with its history so far, `StatusNotification` a pending notification.
 Record = (
     OutstandingMessage
     | AttemptStarted
@@ -92,11 +93,14 @@
 
 
 def sorted_by_expiry(outstanding: Iterable[OutstandingMessage]) -> list[OutstandingMessage]:
-    """Sort messages by expiry, given in the order of acceptance, which those of one ordering key keep."""
+    """Sort messages by expiry.
+
+    `outstanding` is in order of acceptance; messages with the same ordering key keep that order.
+    """
     messages = list(outstanding)
     sort_keys = [entry.message.expires for entry in messages]
     earliest_by_ordering_key = dict[int, float]()
-    # From the last to the first: a message goes no later than any of its key that was accepted after it.
+    # Walk backwards: a message sorts no later than any message with its ordering key that was accepted after it.
     for position in range(len(messages) - 1, -1, -1):
         ordering_key = messages[position].message.ordering_key
         if ordering_key is not None:
--- a/kestreltrack/journal/shared_files.py
+++ b/kestreltrack/journal/shared_files.py
@@ -1,11 +1,12 @@
-"""Small files in the state folder (`$GW_STATE`) that both processes of an upgrade read when they have changed."""
+"""Small files in the state folder (`$GW_STATE`) that two processes of a sender share during an upgrade."""
 
 from __future__ import annotations
 
 import os
 from pathlib import Path
 
-# Inode, time of modification in nanoseconds, and size: two writes within one tick of the file system share the time.
+# Inode, modification time in nanoseconds, and size: the time alone does not distinguish two writes within one tick of
+# the file system's clock.
 FileVersion = tuple[int, int, int]
 
 
@@ -15,7 +16,7 @@
 
 
 def write_atomically(path: Path, data: bytes) -> FileVersion:
-    """Write a file beside `path`, then put it in place, so that a reader never sees a part of it.
+    """Write a temporary file beside `path` and rename it, so that a reader never sees a partial file.
 
     Returns the version of the new file.  Raises `OSError`.
     """
@@ -26,9 +27,9 @@
 
 
 def read_if_changed(path: Path, known_versions: dict[Path, FileVersion]) -> bytes | None:
-    """Return the content of `path` if its version is not the known one, and note the version in `known_versions`.
+    """Return the content of `path` if its version differs from the one in `known_versions`, and update that.
 
-    Returns `None` where the file has not changed, or does not exist.  Raises `OSError`.
+    Returns `None` if the file has not changed or does not exist.  Raises `OSError`.
     """
     try:
         version = _file_version(path)
--- a/kestreltrack/journal/slot_lock.py
+++ b/kestreltrack/journal/slot_lock.py
@@ -1,7 +1,7 @@
-"""Slots of the state folder: each process of a sender holds one, with a file of its own and an advisory lock.
+"""Slots of the state folder: each process of a sender locks one, which has its own journal file.
 
-Two processes share the folder (`$GW_STATE`) while a new version starts beside the old one (graceful restart).  The
-kernel releases the lock when its process ends, however it ends.
+Two processes share the folder (`$GW_STATE`) during a graceful restart, while a new version starts beside the old one.
+The locks are advisory; the kernel releases them when the process ends, for whatever reason.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 
 from kestreltrack.journal.errors import JournalFullError
 
-# The process in service and its successor: there are never more at once.  The names are those of the files.
+# One for the process in service and one for its successor; no more run at once.  The journal files have these names.
 SLOTS = ("journal", "journal.1")
 
-# How long a start waits for a free slot: a process that takes over the other slot's messages holds both.
+# How long a starting process waits for a free slot: during a takeover one process holds both.
 SLOT_TIMEOUT_S = 2.0
 
-# Pause between two attempts to lock a slot; short against the time-out.
-SLOT_POLL_S = 0.05
+# Interval between attempts to lock a slot, much shorter than the timeout.
+SLOT_POLL_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True)
 class SlotLock:
-    """The lock of one slot, held by this process until `release`."""
+    """The lock on one slot, held by this process until `release`."""
 
     slot: str
     fd: int
 
     @classmethod
     def try_acquire(cls, folder: Path, slot: str) -> SlotLock | None:
-        """Lock a slot, or return `None` where a live process holds it.
+        """Lock a slot, or return `None` if a running process holds it.
 
-        Raises `OSError` where the lock file cannot be opened.
+        Raises `OSError` if the lock file cannot be opened.
         """
         fd = os.open(folder / f"{slot}.lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
@@ -46,14 +46,17 @@
         return cls(slot, fd)
 
     def release(self) -> None:
-        """Unlock the slot: another process may hold it from now on."""
+        """Release the lock, so that another process can take the slot."""
         os.close(self.fd)
-        # The kernel gives the number to the next file that is opened: that may be a connection.
+        # The kernel reuses the descriptor number for the next file that is opened, possibly a connection.
         self.fd = -1
 
 
 def acquire_free_slot(folder: Path) -> SlotLock:
-    """Lock the first free slot, waiting `SLOT_TIMEOUT_S` at most; raises `JournalFullError` where none is free."""
+    """Lock the first free slot, waiting up to `SLOT_TIMEOUT_S` for one.
+
+    Raises `JournalFullError` if none becomes free.
+    """
     deadline = time.monotonic() + SLOT_TIMEOUT_S
     while True:
         for slot in SLOTS:
@@ -61,12 +64,14 @@
             if lock is not None:
                 return lock
         if time.monotonic() >= deadline:
-            raise JournalFullError(f"two live processes use {folder}: stop one of them, then start again")
-        time.sleep(SLOT_POLL_S)
+            raise JournalFullError(
+                f"both slots of {folder} are held by running processes: stop one of them and retry"
+            )
+        time.sleep(SLOT_POLL_INTERVAL_S)
 
 
 def slot_in_use(folder: Path, slot: str) -> bool:
-    """Return whether a live process holds a slot."""
+    """Return whether a running process holds a slot."""
     lock = SlotLock.try_acquire(folder, slot)
     if lock is None:
         return True
@@ -75,5 +80,5 @@
 
 
 def other_slots_in_use(folder: Path, own_slot: str) -> list[str]:
-    """Return the slots, other than this process's, that live processes hold."""
+    """Return the slots other than `own_slot` that running processes hold."""
     return [slot for slot in SLOTS if slot != own_slot and slot_in_use(folder, slot)]
--- a/kestreltrack/journal/state.py
+++ b/kestreltrack/journal/state.py
@@ -1,4 +1,4 @@
-"""The state that a sequence of records adds up to.  No I/O."""
+"""The state that results from applying journal records.  No I/O."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from kestreltrack.ports import EndpointListUpdate, StatusNotification
 from kestreltrack.telemetry import Telemetry
 
-# What the attempts, outcomes and the end of one message are assumed to add to its first record.
-LIFECYCLE_BYTES = 300
+# Estimated size of the later records of a message: its attempts, their outcomes and its end.
+LIFECYCLE_RESERVE_BYTES = 300
 
 
 class JournalState:
-    """The outstanding messages in the order of their acceptance, and the last endpoint list."""
+    """The outstanding messages in order of acceptance, and the last endpoint list."""
 
     def __init__(self, telemetry: Telemetry) -> None:
-        """Start with no messages and no endpoint list."""
+        """Start without messages and without an endpoint list."""
         self.telemetry = telemetry
         self.outstanding: dict[str, OutstandingMessage] = {}
         self._endpoint_list: EndpointList | None = None
@@ -35,36 +35,36 @@
 
     @property
     def endpoints(self) -> EndpointListUpdate | None:
-        """The endpoint list as last recorded; `None` where there is none."""
+        """The endpoint list as last recorded; `None` if none was recorded."""
         return None if self._endpoint_list is None else self._endpoint_list.snapshot()
 
     def split_lines(self, data: bytes) -> list[bytes]:
-        """Return the lines of a file.
+        """Return the complete lines of a file.
 
-        A last line that is cut short is counted and dropped: no caller got its write confirmed.
+        An incomplete last line is counted and dropped: its write was never confirmed to the caller.
         """
-        *lines, torn = data.split(b"\n")
-        if torn:
-            self.telemetry.record_fault("journal.torn", bytes=len(torn))
+        *lines, incomplete_line = data.split(b"\n")
+        if incomplete_line:
+            self.telemetry.record_fault("journal.torn", bytes=len(incomplete_line))
         return lines
 
     def recover(self, lines: Iterable[bytes], first_line_number: int = 1) -> None:
-        """Apply the records of these lines; what cannot be read is counted and skipped."""
+        """Apply the records in these lines; unreadable ones are counted and skipped."""
         for line_number, line in enumerate(lines, first_line_number):
             try:
                 self._apply(decode_record(line))
-            # A record with a sound checksum may still hold values of other types than this version writes.
+            # A record with a valid checksum may still contain values of types that this version does not write.
             except (InvalidRecordError, ValueError, KeyError, TypeError) as error:
                 self.telemetry.record_fault("journal.corrupt", line=line_number, error=repr(error))
 
     def restore_order(self) -> None:
-        """Put the messages in the order of their acceptance, also where the file has them in reverse."""
+        """Reverse the messages if the file stores them in reverse order, so that ordering keys keep their order."""
         if self._reversed:
             self.outstanding = dict(reversed(self.outstanding.items()))
             self._reversed = False
 
     def _apply(self, record: Record) -> None:
-        # The most frequent records come first.
+        # Most frequent record types first.
         match record:
             case AttemptStarted():
                 self._find_outstanding(record.message_id).start_attempt(record.start)
@@ -75,19 +75,19 @@
             case MessageCompleted():
                 self._remove_outstanding(record.message_id)
             case StatusNotification():
-                self._owe_notification(record)
+                self._set_pending_notification(record)
             case EndpointListUpdate():
                 self._update_endpoints(record)
             case OrderReversed():
                 self._reversed = True
 
     def _add_outstanding(self, outstanding: OutstandingMessage, record_bytes: int) -> None:
-        outstanding.reserved_bytes = record_bytes + LIFECYCLE_BYTES
+        outstanding.reserved_bytes = record_bytes + LIFECYCLE_RESERVE_BYTES
         self.outstanding[outstanding.message.id] = outstanding
         self._outstanding_bytes += outstanding.reserved_bytes
 
-    def _owe_notification(self, notification: StatusNotification) -> None:
-        self._find_outstanding(notification.message_id).owed_notification = notification
+    def _set_pending_notification(self, notification: StatusNotification) -> None:
+        self._find_outstanding(notification.message_id).pending_notification = notification
 
     def _remove_outstanding(self, message_id: str) -> None:
         removed = self.outstanding.pop(message_id, None)
@@ -97,7 +97,7 @@
     def _find_outstanding(self, message_id: str) -> OutstandingMessage:
         outstanding = self.outstanding.get(message_id)
         if outstanding is None:
-            raise InvalidRecordError(f"a record of message {message_id!r}, which is not outstanding")
+            raise InvalidRecordError(f"message {message_id!r} is not outstanding")
         return outstanding
 
     def _update_endpoints(self, update: EndpointListUpdate) -> None:
--- a/kestreltrack/journal/takeover.py
+++ b/kestreltrack/journal/takeover.py
@@ -1,9 +1,10 @@
-"""What the process of another slot left at its end, read and taken over in slices that never block the loop for long.
+"""Takes over the journal file that an ended process left in another slot.
 
-Its file is first compacted: it then holds the outstanding messages and nothing else, those that expire last in front.
-Then the process that takes over copies the last few into its own file and cuts them off here, in one turn of its
-loop.  A crash at any point leaves each message with exactly one process, and the two files never need more room than
-they did together.
+This happens in batches, so that the event loop is never blocked for long.  The file is first compacted: it then
+contains only the outstanding messages, in reverse order of expiry.  The process that takes over then copies batch
+after batch from the end of this file into its own and truncates this file, both in one turn of the event loop.  A
+crash at any point leaves each message with exactly one process, and the two files never need more space than they had
+together before.
 """
 
 from __future__ import annotations
@@ -19,28 +20,29 @@
 from kestreltrack.journal.state import JournalState
 from kestreltrack.telemetry import Telemetry
 
-# Records read back in one turn of the loop: some 4 ms, where the process has a core of its own.
+# Records applied in one turn of the event loop: about 4 ms on an otherwise idle core.
 READ_BATCH_LINES = 400
 
-# Messages written, copied or cut off in one turn of the loop: the policy may have to answer each of them at once.
+# Messages written, copied or removed in one turn of the event loop.  The policy may have to decide on all of them in
+# that turn.
 TAKEOVER_BATCH_SIZE = 25
 
 
 class AbandonedJournal:
-    """The file of a slot whose process has ended; the slot is locked until `close`."""
+    """The journal file of a slot whose process has ended; the slot is locked until `close`."""
 
     def __init__(self, folder: Path, slot_lock: SlotLock, telemetry: Telemetry) -> None:
-        """Read the file of a locked slot.  Raises `OSError` where it cannot be read."""
+        """Read the file of a locked slot.  Raises `OSError` if that fails."""
         self.slot = slot_lock.slot
         self.path = folder / self.slot
         self.file_bytes = 0
         self.state = JournalState(telemetry)
-        # Messages that are still in this file, with their records; the last of them expires first.
+        # The messages still in this file, with their encoded records; the last one expires first.
         self.remaining = list[tuple[OutstandingMessage, bytes]]()
         self._slot_lock = slot_lock
         self._fd = -1
         self._compacted_path = folder / f"{self.slot}.new"
-        # A compacted file that its process did not live to put in place.
+        # An unfinished replacement, left by a process that ended during a compaction.
         self._compacted_path.unlink(missing_ok=True)
         try:
             self._data = self.path.read_bytes() if self.path.exists() else b""
@@ -50,12 +52,12 @@
 
     @classmethod
     def open(cls, folder: Path, slot: str, telemetry: Telemetry) -> AbandonedJournal | None:
-        """Lock a slot and read its file, or return `None` while its process lives.  Raises `OSError`."""
+        """Lock a slot and read its file, or return `None` while its process is running.  Raises `OSError`."""
         slot_lock = SlotLock.try_acquire(folder, slot)
         return None if slot_lock is None else cls(folder, slot_lock, telemetry)
 
     def read(self) -> Iterator[None]:
-        """Restore `state` from the records; each step is one slice."""
+        """Restore `state` from the records, one batch per step."""
         lines = iter(self.state.split_lines(self._data))
         self._data = b""
         first_line_number = 1
@@ -66,9 +68,9 @@
         self.state.restore_order()
 
     def compact(self, already_owned: Container[str]) -> Iterator[None]:
-        """Replace the file by one without the messages whose ids are in `already_owned`; each step is one slice.
+        """Replace the file by one without the messages whose ids are in `already_owned`, one batch per step.
 
-        Raises `OSError`; the old file stays then.
+        Raises `OSError`; the old file then stays in place.
         """
         last_to_expire_first = sorted_by_expiry(self.state.outstanding.values())[::-1]
         fd = os.open(self._compacted_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
@@ -91,26 +93,27 @@
         self._append(fd, b"".join([line for _, line in records]))
 
     def _append(self, fd: int, data: bytes) -> None:
-        if os.write(fd, data) != len(data):
-            raise OSError("a short write")
+        written = os.write(fd, data)
+        if written != len(data):
+            raise OSError(f"short write: {written} of {len(data)} bytes")
         self.file_bytes += len(data)
 
     def next_batch(self) -> list[tuple[OutstandingMessage, bytes]]:
-        """Return the messages to take over next, with their records, the first to expire first.
+        """Return the messages to take over next with their records, in order of expiry.
 
-        The list is empty when all have been taken over.
+        The list is empty once all messages have been taken over.
         """
         return self.remaining[: -TAKEOVER_BATCH_SIZE - 1 : -1]
 
     def remove_batch(self) -> None:
-        """Cut off the messages that `next_batch` returned: they are another process's now."""
+        """Remove the messages that `next_batch` returned, which another process owns now."""
         removed = self.remaining[-TAKEOVER_BATCH_SIZE:]
         self.file_bytes -= sum(len(line) for _, line in removed)
         os.ftruncate(self._fd, self.file_bytes)
         del self.remaining[-TAKEOVER_BATCH_SIZE:]
 
     def close(self) -> None:
-        """Unlock the slot; a file from which all messages were taken is removed."""
+        """Release the slot, and delete the file if all its messages have been taken over."""
         if self._fd >= 0:
             os.close(self._fd)
             if not self.remaining:
--- a/kestreltrack/sender/message_lifecycle.py
+++ b/kestreltrack/sender/message_lifecycle.py
@@ -70,7 +70,7 @@
 
     async def run_until_final(self, outstanding: OutstandingMessage, pending: PendingMessage) -> None:
         """Bring a message to its end: delivered, withdrawn, or failed with a notification of its client."""
-        if outstanding.owed_notification is None:
+        if outstanding.pending_notification is None:
             match await self._attempt_until_final(outstanding, pending):
                 case AttemptResult(outcome=outcome):
                     await self._finish_attempted(outstanding, outcome)
@@ -79,19 +79,19 @@
                     await self._finish(outstanding, EndReason.WITHDRAWN)
                     return
                 case decision:
-                    self.record_owed_notification(
+                    self.record_pending_notification(
                         outstanding, _notification(outstanding.message.id, decision)
                     )
         pending.remove()  # the decision module is done with it; only the notification is left
-        assert outstanding.owed_notification is not None
-        await self._finish_by_notification(outstanding, outstanding.owed_notification)
+        assert outstanding.pending_notification is not None
+        await self._finish_by_notification(outstanding, outstanding.pending_notification)
 
-    def record_owed_notification(
+    def record_pending_notification(
         self, outstanding: OutstandingMessage, notification: StatusNotification
     ) -> None:
         """Record that the message has failed and that its sender is still to be notified of it."""
-        outstanding.owed_notification = notification
-        try_write(self.telemetry, self.journal.record_owed_notification, notification)
+        outstanding.pending_notification = notification
+        try_write(self.telemetry, self.journal.record_pending_notification, notification)
 
     def count_result(self, message: Message, result: MessageResult) -> None:
         """Count one result of the message's class for the operators' metrics."""
--- a/kestreltrack/sender/recovery.py
+++ b/kestreltrack/sender/recovery.py
@@ -42,10 +42,10 @@
         """Carry one message from where the journal shows it to its end."""
         pending = PendingMessage(self.dispatcher, outstanding.message.id)
         pending.attempt_number = outstanding.attempts
-        if outstanding.owed_notification is None and outstanding.message.cls not in self.settings.classes:
+        if outstanding.pending_notification is None and outstanding.message.cls not in self.settings.classes:
             self._fail_unknown_class(outstanding)
         try:
-            if outstanding.owed_notification is None:
+            if outstanding.pending_notification is None:
                 self.dispatcher.notify(_resumed_arrival_event(outstanding))
             await self.lifecycle.run_until_final(outstanding, pending)
         finally:
@@ -60,7 +60,7 @@
         notification = StatusNotification(
             outstanding.message.id, requeue=outstanding.first_ambiguous() is None
         )
-        self.lifecycle.record_owed_notification(outstanding, notification)
+        self.lifecycle.record_pending_notification(outstanding, notification)
 
 
 def _resumed_arrival_event(outstanding: OutstandingMessage) -> MessageArrived:
--- a/tests/crash_harness.py
+++ b/tests/crash_harness.py
@@ -433,7 +433,7 @@
         self.crashes += 1
 
     def check_stored(self, at_ms: float, stored: OutstandingMessage) -> None:
-        owed = stored.owed_notification
+        owed = stored.pending_notification
         assert not self.ends or owed, f"{self.message_id}: the platform was notified before that was recorded"
         # The clock has moved on since the last observation: what was observed then is recorded.
         if self.last_observed_ms and self.last_observed_ms < at_ms:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -67,7 +67,7 @@
     journal.record_attempt(first, 20.0, "b")
     journal.record_outcome(first, Outcome.TIMED_OUT)
     journal.record_attempt(first, 30.0, "c")
-    journal.record_owed_notification(StatusNotification("m2", True, 250.0))
+    journal.record_pending_notification(StatusNotification("m2", True, 250.0))
     for _ in range(2):  # the second time from the rewritten file
         journal.close()
         journal = opened(tmp_path)
@@ -75,8 +75,8 @@
         reopened = journal.outstanding["m1"]
         assert reopened.message == message("m1") and reopened.attempts == 3
         assert reopened.ambiguous == AttemptStart(20.0, "b") and reopened.in_flight == AttemptStart(30.0, "c")
-        assert journal.outstanding["m2"].owed_notification == StatusNotification("m2", True, 250.0)
-    assert second.owed_notification == StatusNotification("m2", True, 250.0)
+        assert journal.outstanding["m2"].pending_notification == StatusNotification("m2", True, 250.0)
+    assert second.pending_notification == StatusNotification("m2", True, 250.0)
 
 
 def test_attempt_in_flight_at_a_crash_is_ambiguous_unless_an_earlier_one_is(tmp_path: Path) -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -167,14 +167,14 @@
     journal.record_outcome(delivered, Outcome.OK)
     journal.record_completed(delivered)
     told = taken("notice-told")
-    journal.record_owed_notification(StatusNotification("notice-told", False))
+    journal.record_pending_notification(StatusNotification("notice-told", False))
     journal.record_completed(told)
     taken("notice-owed-requeue", "safe", "acme")
-    journal.record_owed_notification(StatusNotification("notice-owed-requeue", True, 250.0))
+    journal.record_pending_notification(StatusNotification("notice-owed-requeue", True, 250.0))
     given_up = taken("notice-owed-given-up", "unsafe")
     journal.record_attempt(given_up, NOW + 80.0, "zone-b")
     journal.record_outcome(given_up, Outcome.CONNECTION_BROKEN)
-    journal.record_owed_notification(StatusNotification("notice-owed-given-up", False))
+    journal.record_pending_notification(StatusNotification("notice-owed-given-up", False))
     first, second = (taken(f"ordered-{number}", "ordered", "acme", 5) for number in (1, 2))
     journal.record_attempt(first, NOW + 90.0, "zone-a", second)  # both in one call
 
