--- a/kestreltrack/notifications/http_notifier.py
+++ b/kestreltrack/notifications/http_notifier.py
@@ -1,4 +1,4 @@
-"""Status notifications to the platform over HTTP, retried until they are accepted."""
+"""Sends status notifications to the platform over HTTP and retries them until they are accepted."""
 
 from __future__ import annotations
 
@@ -14,62 +14,62 @@
 
 REPORTS_TARGET = "/reports"
 
-# Time-out of one attempt, as a multiple of the present backoff: the platform answers at once, and where it does not,
-# waiting must not make the notification late.
+# Timeout of one attempt as a multiple of the current backoff: the platform normally responds at once, and if it does
+# not, waiting for it must not make the notification late.
 TIMEOUT_PER_BACKOFF = 5.0
 
-# Longest time-out of one attempt.
+# Upper bound on the timeout of one attempt.
 MAX_ATTEMPT_TIMEOUT_S = 0.5
 
-# First pause between two attempts; each further one is twice as long.
+# Pause before the first retry; it doubles with each further one.
 INITIAL_BACKOFF_S = 0.02
 
 MAX_BACKOFF_S = 0.5
 
-# Notifications in one report: many messages may end together, and a body holds 64 KiB.
+# Notifications in one report: many messages may end at once, and a request body is limited to 64 KiB.
 MAX_BATCH_SIZE = 200
 
 
 @dataclass(eq=False, slots=True)
 class _PendingNotification:
-    """A notification that the platform has not accepted, as a line of a report."""
+    """A notification that the platform has not accepted yet, encoded as a line of a report."""
 
     line: bytes
     accepted: asyncio.Future[None]
 
 
 class HttpNotifier:
-    """Posts notifications at the platform's address, all that are pending in one report."""
+    """Posts notifications to the platform, with all pending ones in one report."""
 
     def __init__(self, address: str, telemetry: Telemetry) -> None:
-        """Nothing is opened before the first notification."""
+        """Open no connection before the first notification."""
         self._client = HttpClient(address)
         self._telemetry = telemetry
         self._queue: list[_PendingNotification] = []
-        # Those that were answered with 400 when alone in a report.
+        # Notifications that the platform answered with 400 when they were alone in a report.
         self._rejected: list[_PendingNotification] = []
         self._post_task: asyncio.Task[None] | None = None
-        self._woken = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._backoff_s = INITIAL_BACKOFF_S
-        # How many notifications the next report may hold.
+        # Maximum number of notifications in the next report.
         self._batch_size = MAX_BATCH_SIZE
 
     def change_address(self, address: str) -> None:
-        """Post at another address from now on, also what is in flight or waits for its next attempt."""
+        """Use another address from now on, also for notifications in flight or waiting to be retried."""
         old_client = self._client
         self._client = HttpClient(address)
         old_client.close()
         self._wake()
 
     def _wake(self) -> None:
-        """End a pause of the posting task."""
-        self._woken.set()
-        self._woken = asyncio.Event()
+        """End the backoff of the posting task."""
+        self._wake_event.set()
+        self._wake_event = asyncio.Event()
 
     async def notify(self, notification: StatusNotification) -> None:
-        """Return once the platform has accepted the notification, with status 204."""
+        """Return once the platform has accepted the notification with status 204."""
         pending = _PendingNotification(_encode(notification), asyncio.get_running_loop().create_future())
-        if not self._queue:  # else the pause of the posting task is for those that are in the queue
+        if not self._queue:  # otherwise the backoff is for the notifications in the queue
             self._wake()
         self._queue.append(pending)
         if self._post_task is None or self._post_task.done():
@@ -77,22 +77,22 @@
         await pending.accepted
 
     async def _post_queue(self) -> None:
-        """Post until nothing is pending."""
+        """Post until no notification is pending."""
         self._backoff_s = INITIAL_BACKOFF_S
         self._batch_size = MAX_BATCH_SIZE
         while self._queue or self._rejected:
-            woken = self._woken
+            wake_event = self._wake_event
             if self._queue:
-                retry_later = await self._post_queued()
+                should_back_off = await self._post_queued()
             else:
-                retry_later = await self._post_rejected()
-            if retry_later:
+                should_back_off = await self._post_rejected()
+            if should_back_off:
                 with suppress(TimeoutError):
-                    await asyncio.wait_for(woken.wait(), self._backoff_s)
+                    await asyncio.wait_for(wake_event.wait(), self._backoff_s)
                 self._backoff_s = min(MAX_BACKOFF_S, 2.0 * self._backoff_s)
 
     async def _post_queued(self) -> bool:
-        """Post the first notifications of the queue; return whether to pause before the next attempt."""
+        """Post the first notifications in the queue; return whether to back off before the next attempt."""
         batch = self._queue[: self._batch_size]
         status = await self._post(batch)
         if status == 204:
@@ -100,7 +100,7 @@
             self._accept(batch)
             return False
         if status == 400:
-            # One line that the platform cannot read must not delay the others: find it by halving the reports.
+            # One invalid line must not delay the others: isolate it by halving the report.
             if len(batch) == 1:
                 self._rejected += batch
                 del self._queue[0]
@@ -109,9 +109,10 @@
         return True
 
     async def _post_rejected(self) -> bool:
-        """Post the first rejected notification, which is owed all the same; return whether to pause.
+        """Retry the first rejected notification; return whether to back off before the next attempt.
 
-        Rejected ones are posted one by one, in turn, and only while the queue is empty.
+        A rejected notification must still be delivered.  Rejected ones are posted one at a time, round robin, and
+        only while the queue is empty.
         """
         batch = self._rejected[:1]
         status = await self._post(batch)
@@ -124,18 +125,18 @@
 
     def _accept(self, batch: list[_PendingNotification]) -> None:
         for pending in batch:
-            if not pending.accepted.done():  # else the task that waited was cancelled
+            if not pending.accepted.done():  # otherwise the waiting task was cancelled
                 pending.accepted.set_result(None)
         self._backoff_s = INITIAL_BACKOFF_S
         self._batch_size = min(MAX_BATCH_SIZE, 2 * self._batch_size)
 
     async def _post(self, batch: list[_PendingNotification]) -> int:
-        """Return the status of the response; 0 where there is none."""
+        """Return the status of the response, or 0 if there is none."""
         body = b"".join([pending.line for pending in batch])
         timeout_s = min(MAX_ATTEMPT_TIMEOUT_S, TIMEOUT_PER_BACKOFF * self._backoff_s)
         try:
             response = await self._client.exchange("POST", REPORTS_TARGET, timeout_s, body)
-        except Exception as error:  # also a fault: without this task no notification is posted any more
+        except Exception as error:  # includes bugs: if this task ended, nothing more would be posted
             self._telemetry.record_fault("notifications.no_response", error=str(error) or repr(error))
             return 0
         if response.status != 204:
@@ -144,7 +145,7 @@
 
 
 def _encode(notification: StatusNotification) -> bytes:
-    """Return a notification as a line of a report."""
+    """Encode a notification as a line of a report."""
     row: dict[str, object] = {"message": notification.message_id, "outcome": "given_up"}
     if notification.requeue:
         row["outcome"] = "handed_back"
