--- a/kestreltrack/ports/__init__.py
+++ b/kestreltrack/ports/__init__.py
@@ -1,7 +1,7 @@
-"""The narrow interfaces by which frontends, endpoint sources, transports and the core meet.
+"""The interfaces between frontends, endpoint sources, transports, notifiers and the core.
 
-Dataclasses and protocols only.  A second frontend, endpoint source or transport is another implementation of
-one of these protocols; it goes through the same decisions and invariants (`docs/design.md`).
+Dataclasses and protocols only.  Another frontend, endpoint source or transport implements one of these protocols and
+is subject to the same decisions and invariants (`docs/design.md`).
 """
 
 from kestreltrack.ports.clock import Clock, make_clock
--- a/kestreltrack/ports/clock.py
+++ b/kestreltrack/ports/clock.py
@@ -1,4 +1,4 @@
-"""The clock that all parts of a sender share."""
+"""The clock that all components of a sender share."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 def make_clock(speed: float = 1.0) -> Clock:
-    """Return a clock that reads like Unix time at the start and never goes back afterwards.
+    """Return a monotonic clock that starts at the current Unix time.
 
     Args:
-        speed: How many seconds of the clock pass in a real second; other than 1 only in experiments.
+        speed: Seconds on the clock per real second; different from 1 only in experiments.
     """
     epoch_offset_s = time.time() - time.monotonic()
     start_s = time.time()
--- a/kestreltrack/ports/endpoint_source.py
+++ b/kestreltrack/ports/endpoint_source.py
@@ -1,4 +1,4 @@
-"""Where the endpoint list comes from."""
+"""The interface to service discovery, which provides the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
     Attributes:
         uid: The endpoint's id, unique in the list.
-        address: Where it accepts requests, ``host:port``.
-        dest: The number of the destination that it belongs to.
+        address: The ``host:port`` where it accepts requests.
+        dest: The number of its destination.
         kind: The name of its kind in the settings.
-        zone: The zone it is in; empty where the list names none.
+        zone: Its zone; empty if the list does not name one.
         state: Whether it is up, draining or removed.
-        rate: A figure of how many requests it can take; `RateAccuracy` in the settings says how exact it is.
+        rate: How many requests it can handle; `RateAccuracy` in the settings says how exact this figure is.
     """
 
     uid: str
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The endpoint list, or the entries of it that changed.
+    """The complete endpoint list, or the entries that changed.
 
     Attributes:
-        revision: The number of the state of the list after this update.
-        complete: Whether `endpoints` is the complete list (a snapshot) rather than the changes (a delta).
-        endpoints: The entries.
+        revision: The revision of the list after this update.
+        complete: Whether `endpoints` is the complete list (a snapshot) or only the changes (a delta).
+        endpoints: The complete or changed entries.
     """
 
     revision: int
@@ -48,7 +48,7 @@
 
 
 class DiscoveryError(Exception):
-    """Service discovery gave no answer, or none that can be read."""
+    """Service discovery did not respond, or its response is invalid."""
 
 
 class EndpointSource(Protocol):
@@ -58,5 +58,5 @@
         """Yield the complete list, then every change.
 
         Raises:
-            DiscoveryError: The list can be followed no further; the caller follows it anew.
+            DiscoveryError: The list cannot be followed any further; the caller may call `follow` again.
         """
--- a/kestreltrack/ports/notifier.py
+++ b/kestreltrack/ports/notifier.py
@@ -1,4 +1,4 @@
-"""How the ends of messages are reported that come after the client's request was answered."""
+"""The interface for notifying the platform of messages that fail after they were accepted."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusNotification:
-    """The end of a message that was accepted and not delivered.
+    """Notifies the platform that a message was accepted but not delivered.
 
     Attributes:
-        message_id: The id under which the client handed the message in.
-        requeue: True for a negative acknowledgement, after which the message may be handed in again; false where
-            it has failed for good.
-        retry_after_ms: How long to wait before it is handed in again; 0 where no time is advised.
+        message_id: The id under which the client submitted the message.
+        requeue: True for a negative acknowledgement, after which the message may be submitted again; false if it has
+            failed permanently.
+        retry_after_ms: How long to wait before submitting it again; 0 if no interval is advised.
     """
 
     message_id: str
@@ -26,4 +26,4 @@
     """Delivers status notifications to the platform."""
 
     async def notify(self, notification: StatusNotification) -> None:
-        """Return once the platform has the notification, however long that takes."""
+        """Return once the platform has accepted the notification, however long that takes."""
--- a/kestreltrack/ports/submission.py
+++ b/kestreltrack/ports/submission.py
@@ -1,4 +1,4 @@
-"""How a frontend hands messages in."""
+"""The interface through which a frontend submits messages."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message as a client handed it in.
+    """One message as submitted by a client.
 
     Attributes:
-        id: The client's id of the message.
+        id: The client's id for the message.
         cls: The name of its class in the settings.
         dest: The number of its destination.
-        expires: Its deadline, in milliseconds of the `Clock`, which outlives the process.
-        body: What the destination receives.
-        tenant: On whose behalf it is sent.
-        ordering_key: Messages with the same key are delivered in order; None where its class has no order.
-        idempotency_key: By which the destination recognizes a repetition.
+        expires: Its deadline in milliseconds on the `Clock`, which is still valid after a restart of the process.
+        body: The content that the destination receives.
+        tenant: The tenant on whose behalf it is sent.
+        ordering_key: Messages with the same key are delivered in order; None if its class is not ordered.
+        idempotency_key: The key by which the destination recognizes a duplicate.
     """
 
     id: str
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The sender is answerable for the message from here on.
+    """The sender has taken responsibility for the message.
 
     Attributes:
-        duplicate: Whether an earlier request had already handed the message in.
+        duplicate: Whether an earlier request had already submitted the message.
     """
 
     duplicate: bool = False
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The message is not accepted; to hand it in again does no harm.
+    """The message is not accepted and can safely be submitted again.
 
     Attributes:
-        retry_after_ms: How long the client is advised to wait before that; None where no time is advised.
+        retry_after_ms: How long the client is advised to wait before that; None if no interval is advised.
     """
 
     retry_after_ms: float | None = None
@@ -55,10 +55,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidMessage:
-    """The message is not one that this sender can deliver.
+    """The message is invalid: this sender cannot deliver it.
 
     Attributes:
-        reason: What is wrong with it, for the client.
+        reason: What is wrong with it, as reported to the client.
     """
 
     reason: str
@@ -71,7 +71,7 @@
     """Accepts messages from a frontend."""
 
     async def submit(self, message: Message) -> SubmitResult:
-        """Accept a message, or return why it is not accepted."""
+        """Accept a message, or return why it was not accepted."""
 
     def withdraw(self, message_id: str) -> None:
-        """End the delivery of a message whose client disconnected before it received the reply."""
+        """Cancel the delivery of a message whose client disconnected before it received the reply."""
--- a/kestreltrack/ports/transport.py
+++ b/kestreltrack/ports/transport.py
@@ -1,4 +1,4 @@
-"""How attempts are carried to endpoints."""
+"""The interface through which delivery attempts are sent to endpoints."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class BeginAttempt(Protocol):
-    """Called right before the first byte of an attempt is written; decides whether it may be."""
+    """Called right before the first byte of an attempt is written, to ask whether it may start."""
 
     def __call__(self, *other_message_ids: str) -> bool:
-        """Return whether the attempt may begin.
+        """Return whether the attempt may start.
 
-        `other_message_ids` are the messages that share the call: either all may begin, and are recorded in one
-        write, or none.
+        `other_message_ids` are the other messages in the same call: either the attempts of all may start, and are
+        recorded in one write, or none.
         """
 
 
 @dataclass(eq=False, slots=True)
 class BatchCall:
-    """One call for several messages that one decision sends to one endpoint.
+    """One call that carries several messages, sent to one endpoint by one decision.
 
     Attributes:
-        add_attempt: Adds an attempt to the call and returns its result.  A transport that carries such calls sets
-            it at the first attempt of the call; where it stays None, each attempt is a call of its own.
+        add_attempt: Adds an attempt to the call and returns its result.  A transport that supports batches sets it
+            on the first attempt of the call; if it stays None, each attempt is a separate call.
     """
 
     add_attempt: Callable[[Attempt], Awaitable[AttemptResult]] | None = None
@@ -42,10 +42,10 @@
         endpoint: The uid of the endpoint.
         address: The endpoint's address, ``host:port``.
         timeout_ms: How long the attempt may take.
-        begin: Asked right before the first byte is written.
-        batch_call: The call that it shares with attempts of other messages, if any.
-        on_delivered: Called, maybe more than once, as soon as the answer is known to be a success; the rest of the
-            answer may come later, or never.
+        begin: Called right before the first byte is written.
+        batch_call: The call shared with attempts of other messages, if any.
+        on_delivered: Called, possibly more than once, as soon as the response is known to be a success; the rest of
+            the response may arrive later or never.
     """
 
     message: Message
@@ -59,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, with what the endpoint answered.
+    """The outcome of an attempt and the details of the endpoint's response.
 
     Attributes:
-        outcome: The end, as the decision module distinguishes ends.
-        final: Whether the endpoint's answer ends the message: nothing more is owed.
-        retry_after_ms: How long the endpoint asks to be left alone; 0 where it does not.
-        stale_connection: Whether an idle connection, opened by an earlier attempt, broke without an answer.
-        load_report: The load that the endpoint reports of itself, by field.
+        outcome: The outcome, as classified by the decision module.
+        final: Whether the endpoint's response completes the message, with no further attempt or notification.
+        retry_after_ms: The retry-after interval that the endpoint asked for; 0 if none.
+        stale_connection: Whether an idle connection, opened by an earlier attempt, broke without a response.
+        load_report: The load that the endpoint reports about itself, by field.
     """
 
     outcome: Outcome
@@ -77,10 +77,10 @@
 
 
 class Transport(Protocol):
-    """Carries attempts to endpoints."""
+    """Sends attempts to endpoints."""
 
     async def send(self, attempt: Attempt) -> AttemptResult:
-        """Carry out one attempt; a cancelled one returns an outcome all the same."""
+        """Make one attempt and return its result, even if it is cancelled."""
 
     def close_idle(self, uid: str) -> None:
         """Close the idle connections to an endpoint."""
