--- a/kestreltrack/telemetry/__init__.py
+++ b/kestreltrack/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""The log, the counters and the invariants of one process."""
+"""Logging, counters and invariant checks of one process."""
 
 from kestreltrack.telemetry.telemetry import Telemetry
 
