--- a/tests/crash_harness.py
+++ b/tests/crash_harness.py
@@ -1,7 +1,7 @@
-"""A sender over a mix of messages on a virtual clock, the points at which it may crash, and the invariants.
+"""A harness that runs a sender on a virtual clock, records where it may crash, and checks the invariants.
 
 A `Core` delivers the messages of `SCRIPTS`.  Each change of a file and each event that a client, an endpoint or the
-platform observes is a `CrashPoint`; `check` holds over what all processes together did.
+platform observes is a `CrashPoint`.  `check_invariants` checks what all processes together did.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 import pytest
-from conftest import SETTINGS as SHARED
+from conftest import SETTINGS as BASE_SETTINGS
 
 from kestreltrack.decision import ClassSettings, EndpointLifecycle, Idempotency, Outcome, Policy
 from kestreltrack.discovery import EndpointList
@@ -41,10 +41,8 @@
 WINDOW_MS = 1000.0
 FOLDER_BYTES = 60_000
 MAX_FILE_BYTES = 12_000  # so that the file is compacted many times
-RESTART_DELAYS_S = (
-    0.6,
-    0.05,
-)  # from a crash to the next start: as the platform has it, and as short as an upgrade's
+# From a crash to the next start: the restart delay of the platform, and one as short as during an upgrade.
+RESTART_DELAYS_S = (0.6, 0.05)
 CLASSES = {
     "safe": ClassSettings(latency_objective_ms=500, deadline_ms=4000, idempotency=Idempotency.IDEMPOTENT),
     "keyed": ClassSettings(
@@ -57,8 +55,8 @@
         latency_objective_ms=500, deadline_ms=4000, idempotency=Idempotency.NOT_IDEMPOTENT
     ),
 }
-SETTINGS = replace(SHARED, classes=CLASSES, max_attempts=3, sender_count=1)
-# The results of the attempts of each message, one after the other; further ones are answered with 200.
+SETTINGS = replace(BASE_SETTINGS, classes=CLASSES, max_attempts=3, sender_count=1)
+# The results of the successive attempts of each message; further attempts succeed.
 SCRIPTS_BY_CLASS = {
     "safe": [
         "error ok",
@@ -111,7 +109,7 @@
 
 
 class Observation(NamedTuple):
-    """Something that happened outside of the process; a crash is of no message."""
+    """An event outside of the process; the message id of a crash is empty."""
 
     kind: str
     message_id: str
@@ -120,102 +118,106 @@
 
 
 @dataclass
-class World:
-    """What all but the sender have observed, in its order."""
+class History:
+    """All observations by clients, endpoints and the platform, in order."""
 
-    log: list[Observation] = field(default_factory=list)
+    observations: list[Observation] = field(default_factory=list)
     on_observation: Callable[[], None] = lambda: None
 
     def observe(self, kind: str, message_id: str, at_ms: float, detail: str = "") -> None:
-        self.log.append(Observation(kind, message_id, at_ms, detail))
+        self.observations.append(Observation(kind, message_id, at_ms, detail))
         self.on_observation()
 
     def attempts_requested(self, message_id: str) -> int:
-        return sum(entry[:2] == ("requested", message_id) for entry in self.log)
+        return sum(entry[:2] == ("requested", message_id) for entry in self.observations)
 
 
 @dataclass(frozen=True)
 class CrashPoint:
-    """Where a process may crash: the files, how much had been observed, and when."""
+    """A point where a process may crash: the files, the number of observations so far, and the time."""
 
     files: dict[str, bytes]
-    observations: int
+    observation_count: int
     now_s: float
-    writing: tuple[str, int] | None = None  # the file that the last write went to, and its length before
+    writing: tuple[str, int] | None = None  # the file of the last write, and its previous length
 
 
-class Endpoints:
-    """The endpoints of all destinations, and the transport to them."""
+class ScriptedTransport:
+    """A transport to endpoints that respond as scripted."""
 
-    def __init__(self, world: World, clock: Callable[[], float]) -> None:
-        self.world, self.clock = world, clock
+    def __init__(self, history: History, clock: Callable[[], float]) -> None:
+        self.history = history
+        self.clock = clock
 
     async def send(self, attempt: Attempt) -> AttemptResult:
         message_id = attempt.message.id
         deadline_ms = self.clock() + attempt.timeout_ms
-        step = [*SCRIPTS.get(message_id, []), *["ok"] * 20][self.world.attempts_requested(message_id)]
-        self.world.observe("requested", message_id, self.clock(), step)
-        if step == "unreachable":
+        result = [*SCRIPTS.get(message_id, []), *["ok"] * 20][self.history.attempts_requested(message_id)]
+        self.history.observe("requested", message_id, self.clock(), result)
+        if result == "unreachable":
             return AttemptResult(Outcome.UNREACHABLE)
         try:
-            await asyncio.sleep(0.7 if step == "late" else 0.004)
+            await asyncio.sleep(0.7 if result == "late" else 0.004)
             if not attempt.begin():
                 return AttemptResult(Outcome.NOT_SENT)
-            self.world.observe("sent", message_id, self.clock())
-            hangs = step in ("hang", "withdrawn")
+            self.history.observe("sent", message_id, self.clock())
+            hangs = result in ("hang", "withdrawn")
             await asyncio.sleep((deadline_ms - self.clock()) / 1000.0 if hangs else 0.02)
         except asyncio.CancelledError:
             return AttemptResult(Outcome.CANCELLED)
-        outcome = Outcome.TIMED_OUT if hangs else OUTCOMES[step]
-        completed = step == "completed"
-        self.world.observe("outcome", message_id, self.clock(), "completed" if completed else outcome.value)
+        outcome = Outcome.TIMED_OUT if hangs else OUTCOMES[result]
+        completed = result == "completed"
+        self.history.observe("outcome", message_id, self.clock(), "completed" if completed else outcome.value)
         return AttemptResult(outcome, final=completed or outcome is Outcome.OK)
 
     def close_idle(self, uid: str) -> None:
         """There are no idle connections."""
 
 
-class Platform:
-    """The platform, which takes some time to accept a notification."""
+class FakePlatform:
+    """A platform that takes some time to accept a notification."""
 
-    def __init__(self, world: World, clock: Callable[[], float]) -> None:
-        self.world, self.clock = world, clock
+    def __init__(self, history: History, clock: Callable[[], float]) -> None:
+        self.history = history
+        self.clock = clock
 
     async def notify(self, notification: StatusNotification) -> None:
         await asyncio.sleep(0.3 if notification.message_id == "keyed2" else 0.01)
-        self.world.observe("notification", notification.message_id, self.clock(), end_of(notification))
+        self.history.observe(
+            "notification", notification.message_id, self.clock(), notified_end(notification)
+        )
 
 
-def end_of(notification: StatusNotification) -> str:
+def notified_end(notification: StatusNotification) -> str:
     return "handed_back" if notification.requeue else "given_up"
 
 
-class EndpointLists:
-    """The complete list once, then changes of an endpoint that no message needs."""
+class FakeEndpointSource:
+    """Yields the complete list once, then changes of an endpoint that no message uses."""
 
     async def follow(self) -> AsyncIterator[EndpointListUpdate]:
         yield ENDPOINT_LIST
         for revision in range(2, 8):
             await asyncio.sleep(0.15)
             state = EndpointLifecycle.DRAINING if revision % 2 else EndpointLifecycle.UP
-            spare = ListedEndpoint("spare", "127.0.0.1:1", 99, "plain", "", state)
-            yield EndpointListUpdate(revision, False, (spare,))
+            unused = ListedEndpoint("spare", "127.0.0.1:1", 99, "plain", "", state)
+            yield EndpointListUpdate(revision, False, (unused,))
         await asyncio.sleep(1e6)
 
 
 class SilentTelemetry(Telemetry):
-    """Counts, and logs nothing."""
+    """Counts, but does not log."""
 
     def log(self, event: str, **fields: object) -> None:
-        """Nothing is written."""
+        """Write nothing."""
 
 
-def files_of(folder: Path) -> dict[str, bytes]:
+def read_files(folder: Path) -> dict[str, bytes]:
     return {path.name: path.read_bytes() for path in folder.iterdir() if not path.name.endswith(".lock")}
 
 
 @contextmanager
-def every_change(folder: Path, on_change: Callable[[tuple[str, int] | None], None]) -> Iterator[None]:
+def hook_file_changes(folder: Path, on_change: Callable[[tuple[str, int] | None], None]) -> Iterator[None]:
     """Call `on_change` after each change of a file."""
     real = {name: getattr(os, name) for name in ("write", "rename", "ftruncate", "unlink")}
 
@@ -236,11 +238,11 @@
 
 
 def run_process(
-    folder: Path, world: World, start_s: float, message_ids: list[str], takes_over: bool = False
+    folder: Path, history: History, start_s: float, message_ids: list[str], takes_over: bool = False
 ) -> list[CrashPoint]:
-    """Run one process from its start until all that is outstanding has ended; return where it may crash.
+    """Run one process from its start until no message is outstanding; return its crash points.
 
-    The process accepts `message_ids`.  Where it takes over, another process holds the first slot for a while.
+    The process accepts `message_ids`.  If `takes_over`, another process holds the first slot for a while.
     """
     points = list[CrashPoint]()
 
@@ -252,25 +254,25 @@
             return EPOCH_MS + loop.time() * 1000.0
 
         def add_point(writing: tuple[str, int] | None = None) -> None:
-            points.append(CrashPoint(files_of(folder), len(world.log), loop.time(), writing))
+            points.append(CrashPoint(read_files(folder), len(history.observations), loop.time(), writing))
 
         other_process = SlotLock.try_acquire(folder, "journal") if takes_over else None
         journal = Journal(folder, FOLDER_BYTES, telemetry)
         journal.max_file_bytes = MAX_FILE_BYTES
-        core = start_core(journal, world, clock, telemetry)
+        core = make_core(journal, history, clock, telemetry)
         assert message_ids or takes_over or journal.endpoints or not journal.outstanding, (
-            "the endpoint list outlives its process too"
+            "the endpoint list must be recovered as well"
         )
         core.dispatcher.notify(core.endpoint_list.apply(journal.endpoints or ENDPOINT_LIST, cached=True))
-        world.on_observation = add_point
+        history.on_observation = add_point
         background = list[asyncio.Task[None]]()
-        with every_change(folder, add_point):
+        with hook_file_changes(folder, add_point):
             core.poll_now()
             if message_ids:
-                background.append(asyncio.create_task(core.follow_source(EndpointLists())))
+                background.append(asyncio.create_task(core.follow_source(FakeEndpointSource())))
             core.recover()
             clients = [
-                asyncio.create_task(submit(core, world, clock, message_id, 0.02 * index))
+                asyncio.create_task(submit(core, history, clock, message_id, 0.02 * index))
                 for index, message_id in enumerate(message_ids)
             ]
             if takes_over:
@@ -281,7 +283,7 @@
             await asyncio.gather(*clients)
             while (journal.outstanding or journal.other_slots) and loop.time() < start_s + 30.0:
                 await asyncio.sleep(0.05)
-        world.on_observation = lambda: None
+        history.on_observation = lambda: None
         check_process(journal, telemetry, message_ids)
         for task in background:
             task.cancel()
@@ -292,16 +294,18 @@
     return points
 
 
-def start_core(journal: Journal, world: World, clock: Callable[[], float], telemetry: Telemetry) -> Core:
+def make_core(journal: Journal, history: History, clock: Callable[[], float], telemetry: Telemetry) -> Core:
     dispatcher = Dispatcher(Policy(SETTINGS, 1), clock, telemetry)
-    transport = Endpoints(world, clock)
-    return Core(dispatcher, SETTINGS, journal, EndpointList(), transport, Platform(world, clock), telemetry)
+    transport = ScriptedTransport(history, clock)
+    return Core(
+        dispatcher, SETTINGS, journal, EndpointList(), transport, FakePlatform(history, clock), telemetry
+    )
 
 
 def check_process(journal: Journal, telemetry: Telemetry, message_ids: list[str]) -> None:
-    """Check that a process has ended all messages, without a fault."""
+    """Check that a process has ended all messages without a fault."""
     assert not journal.outstanding and not journal.other_slots, (
-        f"these have no end: {list(journal.outstanding)}"
+        f"still outstanding: {list(journal.outstanding)}, not taken over: {journal.other_slots}"
     )
     faults = {
         name for name in telemetry.counters if "fault" in name or "invariant" in name or "corrupt" in name
@@ -311,7 +315,7 @@
 
 
 async def submit(
-    core: Core, world: World, clock: Callable[[], float], message_id: str, after_s: float
+    core: Core, history: History, clock: Callable[[], float], message_id: str, after_s: float
 ) -> None:
     await asyncio.sleep(after_s)
     class_name = message_id.rstrip("0123456789")
@@ -328,20 +332,20 @@
     if "withdrawn" in SCRIPTS[message_id]:
         core.withdraw(message_id)
     else:
-        world.observe("accepted", message_id, clock())
+        history.observe("accepted", message_id, clock())
 
 
-def crash(point: CrashPoint, world: World, folder: Path) -> World:
-    """Restore the folder, and return the world, as a crash at that point leaves them."""
+def restore_after_crash(point: CrashPoint, history: History, folder: Path) -> History:
+    """Restore the files in `folder`, and return the history, as of a crash at that point."""
     folder.mkdir(parents=True)
     for name, data in point.files.items():
         (folder / name).write_bytes(data)
-    crashed = Observation("crash", "", EPOCH_MS + point.now_s * 1000.0, "")
-    return World([*world.log[: point.observations], crashed])
+    crash = Observation("crash", "", EPOCH_MS + point.now_s * 1000.0, "")
+    return History([*history.observations[: point.observation_count], crash])
 
 
 def outstanding_in(files: dict[str, bytes]) -> dict[str, OutstandingMessage]:
-    """Return what is outstanding by the files of both slots, without a file that is half written beside them."""
+    """Return the outstanding messages in the files of both slots, ignoring unfinished replacements."""
     outstanding = dict[str, OutstandingMessage]()
     for name in ("journal.1", "journal"):
         state = JournalState(SilentTelemetry())
@@ -354,8 +358,8 @@
 FINAL_OUTCOMES = ("ok", "completed")
 
 
-class MessageCheck:
-    """Checks the invariants of one message over what was observed of it, in its order."""
+class MessageInvariants:
+    """Checks the invariants of one message over the observations of it, in order."""
 
     def __init__(self, message_id: str) -> None:
         self.message_id = message_id
@@ -365,15 +369,15 @@
         self.crashes = 0
         self.final_outcomes = 0
         self.notifications = 0
-        # When the first attempt began that may have been executed, and the one that is in flight.
+        # When the first attempt that may have executed started, and the one in flight.
         self.first_ambiguous_ms: float | None = None
         self.in_flight_ms: float | None = None
-        # Ends of which the platform was notified, or of which a journal says that it is to be.
+        # Ends of which the platform was notified, or will be according to a journal.
         self.ends = set[str]()
-        # Of the present process: whether the message had its final outcome, whether the platform was notified, and
-        # when the last of both was observed.
-        self.final = False
-        self.notified = False
+        # In the current process: whether an attempt had a final outcome, whether the platform was notified, and when
+        # the last outcome or notification was observed.
+        self.has_final_outcome = False
+        self.platform_notified = False
         self.last_observed_ms = 0.0
 
     def apply(self, entry: Observation, journals: list[dict[str, OutstandingMessage]]) -> None:
@@ -391,13 +395,13 @@
 
     def on_sent(self, at_ms: float) -> None:
         first_ms = self.first_ambiguous_ms
-        assert not self.ends and not self.final, f"{self.message_id} had ended, and was sent again"
+        assert not self.ends and not self.has_final_outcome, f"{self.message_id} was sent again after its end"
         assert self.idempotency is not Idempotency.NOT_IDEMPOTENT or first_ms is None, (
-            f"{self.message_id} may have been executed, and was sent again"
+            f"{self.message_id} was sent again although it may have executed"
         )
         if self.idempotency is Idempotency.KEYED and first_ms is not None:
             assert at_ms <= first_ms + WINDOW_MS, (
-                f"{self.message_id} was sent {at_ms - first_ms:.0f} ms after it may have been executed"
+                f"{self.message_id} was sent {at_ms - first_ms:.0f} ms after it may have executed"
             )
         self.in_flight_ms = at_ms
         self.attempts += 1
@@ -406,7 +410,7 @@
         if outcome in AMBIGUOUS_OUTCOMES:
             self.first_ambiguous_ms = self.first_ambiguous_ms or self.in_flight_ms
         if outcome in FINAL_OUTCOMES:
-            self.final = True
+            self.has_final_outcome = True
             self.final_outcomes += 1
         self.in_flight_ms = None
         self.last_observed_ms = at_ms
@@ -414,55 +418,61 @@
     def on_notification(self, at_ms: float, end: str) -> None:
         self.ends.add(end)
         self.notifications += 1
-        self.notified = True
+        self.platform_notified = True
         self.last_observed_ms = at_ms
         repeatable = self.idempotency is not Idempotency.NOT_IDEMPOTENT or self.first_ambiguous_ms is None
-        assert end == "given_up" or repeatable, f"{self.message_id} may have been executed"
+        assert end == "given_up" or repeatable, (
+            f"{self.message_id} was handed back although it may have executed"
+        )
 
     def on_crash(self, at_ms: float, stored: OutstandingMessage | None) -> None:
-        assert stored or self.final or self.ends or not self.accepted, (
-            f"{self.message_id} was accepted, and is lost"
+        assert stored or self.has_final_outcome or self.ends or not self.accepted, (
+            f"{self.message_id} was accepted and lost"
         )
         if stored:
             self.check_stored(at_ms, stored)
-            self.final = False
-            self.notified = False
+            self.has_final_outcome = False
+            self.platform_notified = False
         self.first_ambiguous_ms = self.first_ambiguous_ms or self.in_flight_ms
         self.in_flight_ms = None
         self.last_observed_ms = 0.0
         self.crashes += 1
 
     def check_stored(self, at_ms: float, stored: OutstandingMessage) -> None:
-        owed = stored.pending_notification
-        assert not self.ends or owed, f"{self.message_id}: the platform was notified before that was recorded"
-        # The clock has moved on since the last observation: what was observed then is recorded.
+        pending = stored.pending_notification
+        assert not self.ends or pending, (
+            f"{self.message_id}: the platform was notified before the notification was recorded"
+        )
+        # Time has passed since the last observation, so it must have been recorded.
         if self.last_observed_ms and self.last_observed_ms < at_ms:
-            assert not self.final and not self.notified, f"{self.message_id}: its end is not recorded"
+            assert not self.has_final_outcome and not self.platform_notified, (
+                f"{self.message_id}: its end was not recorded"
+            )
             assert not stored.in_flight or stored.in_flight.at >= self.last_observed_ms, (
-                f"{self.message_id}: its outcome is not recorded"
+                f"{self.message_id}: its outcome was not recorded"
             )
-        if owed:
-            self.ends.add(end_of(owed))
+        if pending:
+            self.ends.add(notified_end(pending))
 
     def finish(self) -> None:
         assert self.attempts <= SETTINGS.max_attempts, f"{self.message_id}: {self.attempts} attempts"
         assert len(self.ends) <= 1, f"{self.message_id} has different ends: {self.ends}"
         withdrawn = "withdrawn" in SCRIPTS[self.message_id]
         assert self.final_outcomes or self.notifications or withdrawn or not self.accepted, (
-            f"{self.message_id} was accepted, and has no end"
+            f"{self.message_id} was accepted but never ended"
         )
         assert self.notifications + bool(self.final_outcomes) <= 1 + self.crashes, (
             f"{self.message_id} ended more than once in one process"
         )
-        assert not self.ends or self.notifications, f"{self.message_id}: a notification is still owed"
+        assert not self.ends or self.notifications, f"{self.message_id}: a notification is still pending"
 
 
-def check(world: World, crashes: list[CrashPoint]) -> None:
-    """Check the invariants over what all processes together did."""
+def check_invariants(history: History, crashes: list[CrashPoint]) -> None:
+    """Check the invariants over everything that all processes together did."""
     journals = [outstanding_in(point.files) for point in crashes]
-    for message_id in {entry.message_id for entry in world.log} - {""}:
-        message_check = MessageCheck(message_id)
-        for entry in world.log:
+    for message_id in {entry.message_id for entry in history.observations} - {""}:
+        invariants = MessageInvariants(message_id)
+        for entry in history.observations:
             if entry.message_id in (message_id, ""):
-                message_check.apply(entry, journals)
-        message_check.finish()
+                invariants.apply(entry, journals)
+        invariants.finish()
