--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -1,4 +1,4 @@
-"""Notifications: all that are pending go in one report, and none is done before the platform has accepted it."""
+"""Notifications: pending ones are posted in one report, and each is retried until the platform has accepted it."""
 
 from __future__ import annotations
 
@@ -32,8 +32,9 @@
         notified.append(asyncio.create_task(notifier.notify(StatusNotification("m5", False))))
         platform.say(streams, http_answer("503"))
         _, _, body, streams = await platform.requests.get()
-        assert len(body.splitlines()) == 6 and not any(task.done() for task in notified)
-        notified[0].cancel()  # a message may be left where it is while its notification is pending
+        assert len(body.splitlines()) == 6
+        assert not any(task.done() for task in notified)
+        notified[0].cancel()  # the process may abandon a message while its notification is pending
         platform.say(streams, http_answer("204"))
         await asyncio.gather(*notified[1:])
         assert platform.requests.empty()
@@ -50,7 +51,8 @@
 
 def test_line_rejected_by_the_platform_delays_no_other() -> None:
     async def scenario(platform: Party, other_platform: Party) -> None:
-        notifier, accepted = HttpNotifier(platform.address, Telemetry()), list[str]()
+        notifier = HttpNotifier(platform.address, Telemetry())
+        accepted = list[str]()
         notified = {
             f"m{i}": asyncio.create_task(notifier.notify(StatusNotification(f"m{i}", False)))
             for i in range(9)
@@ -63,13 +65,13 @@
             platform.say(streams, http_answer("400" if "m3" in message_ids else "204"))
             report_count += 1
         assert sorted(accepted) == sorted(notified.keys() - {"m3"})
-        assert report_count <= 11, "nine lines, halved until one is left"
+        assert report_count <= 11, "nine lines must be halved until one is left"
         await asyncio.gather(*(task for id_, task in notified.items() if id_ != "m3"))
-        assert await answer_report(platform, "400") == ["m3"], "it is owed all the same"
+        assert await answer_report(platform, "400") == ["m3"], "a rejected line must still be posted"
         notified["m9"] = asyncio.create_task(notifier.notify(StatusNotification("m9", False)))
         while (message_ids := await answer_report(platform, "400")) != ["m9"]:
             assert message_ids == ["m3"]
-        # Now m9 was answered with 400 as well: each is posted alone, in turn, until it is accepted.
+        # Now m9 was rejected as well: both are posted alone, in turn, until they are accepted.
         assert [await answer_report(platform, "204"), await answer_report(platform, "204")] == [
             ["m3"],
             ["m9"],
@@ -81,12 +83,13 @@
 
 @pytest.mark.parametrize("fault", [ValueError("no address"), UnicodeError("no name"), RuntimeError("closed")])
 def test_posting_continues_after_a_fault(fault: Exception, monkeypatch: pytest.MonkeyPatch) -> None:
-    real, faults = HttpClient.exchange, [fault]
+    real_exchange = HttpClient.exchange
+    faults = [fault]
 
     async def exchange(*args: Any) -> tuple[int, bytes]:
         if faults:
             raise faults.pop()
-        return await real(*args)
+        return await real_exchange(*args)
 
     monkeypatch.setattr(HttpClient, "exchange", exchange)
 
@@ -102,12 +105,12 @@
 def test_report_in_flight_is_posted_at_a_new_address_without_a_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(http_notifier, "INITIAL_BACKOFF_S", 1000.0)  # a pause would never end
+    monkeypatch.setattr(http_notifier, "INITIAL_BACKOFF_S", 1000.0)  # a backoff would never end
 
     async def scenario(platform: Party, other_platform: Party) -> None:
         notifier = HttpNotifier(platform.address, Telemetry())
         notified = asyncio.create_task(notifier.notify(StatusNotification("m1", False)))
-        await platform.requests.get()  # and no answer
+        await platform.requests.get()  # gets no response
         notifier.change_address(other_platform.address)
         assert await answer_report(other_platform, "204") == ["m1"]
         await notified
@@ -124,7 +127,8 @@
         notified = asyncio.create_task(notifier.notify(StatusNotification("m1", False)))
         streams = (await platform.requests.get())[3]
         platform.say(streams, response)
-        streams[1].close() if response else streams[1].transport.abort()
+        writer = streams[1]
+        writer.close() if response else writer.transport.abort()
         assert await answer_report(platform, "204") == ["m1"]
         await notified
 
