--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -11,7 +11,7 @@
 
 import pytest
 from scenario import SETTINGS as FILE_SETTINGS
-from test_journal import opened
+from test_journal import open_journal
 from test_shutdown import play, until
 
 from kestreltrack.config.sender import ConfigError, load_sender_config
@@ -41,7 +41,7 @@
     tmp_path: Path, step: str, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     env = environment(tmp_path)
-    before = opened(tmp_path / "state")
+    before = open_journal(tmp_path / "state")
     before.record_accepted(Message("m1", "unsafe", 1, 9e15, b"x"))
     before.close()
     original = getattr(Assembly, step)
@@ -75,7 +75,7 @@
         assert shutdown_delays_ms[0] <= 100.0 + 1.0, (
             "the time counts from the signal, not from the end of the start"
         )
-    assert list(opened(tmp_path / "state").outstanding) == ["m1"]
+    assert list(open_journal(tmp_path / "state").outstanding) == ["m1"]
 
 
 def test_address_in_use_ends_the_start_before_any_attempt(tmp_path: Path) -> None:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -11,8 +11,8 @@
 
 import pytest
 from conftest import SETTINGS
-from test_adoption import left_behind
-from test_journal import opened
+from test_journal import open_journal
+from test_takeover import open_successor
 from test_windows import Board, Clock
 
 from kestreltrack.decision import KindSettings, Outcome, Policy, Settings
@@ -84,7 +84,7 @@
     core = Core(
         dispatcher,
         settings,
-        opened(folder),
+        open_journal(folder),
         EndpointList(),
         transport or ControlledTransport(),
         RecordingNotifier(),
@@ -133,7 +133,7 @@
         await turns(crossing)
         await core.abandon()
         core.journal.close()
-        outstanding = opened(tmp_path).outstanding
+        outstanding = open_journal(tmp_path).outstanding
         assert bool(outstanding) == (not transport.delivered)
         assert crossing == 0 or not outstanding, "from the next turn on the answer has been read"
 
@@ -175,7 +175,7 @@
         await until(lambda: not core.journal.outstanding)
         pending = core.dispatcher.pending_messages["m1"]
         assert pending.attempt_task and not pending.attempt_task.done(), "the rest has not come"
-        assert not opened(tmp_path).outstanding, "a process that begins now finds nothing to do"
+        assert not open_journal(tmp_path).outstanding, "a process that begins now finds nothing to do"
         released.set()
         await until(lambda: not core.dispatcher.pending_messages)
         assert core.telemetry.counters["delivery.ended.ok"] == 1
@@ -204,7 +204,7 @@
         before = transport.written
         await turns(20)
         assert transport.written == before, "nothing begins after the end"
-        assert opened(tmp_path).outstanding["m1"].attempts == transport.written
+        assert open_journal(tmp_path).outstanding["m1"].attempts == transport.written
 
     play(story())
 
@@ -245,7 +245,7 @@
         late = await core.submit(message("late"))
         answer: SubmitResult = await task
         core.journal.close()
-        outstanding = opened(tmp_path).outstanding
+        outstanding = open_journal(tmp_path).outstanding
         assert late == Rejected() and "late" not in outstanding
         assert answer == (Accepted() if "m1" in outstanding else Rejected())
 
@@ -301,13 +301,13 @@
             await until(lambda: not core.journal.outstanding)
         await core.abandon()  # which waits for no room
         core.journal.close()
-        assert bool(opened(tmp_path).outstanding) == (fails > 1)
+        assert bool(open_journal(tmp_path).outstanding) == (fails > 1)
 
     play(story())
 
 
 def test_record_after_close_goes_to_no_file_that_reuses_the_descriptor(tmp_path: Path) -> None:
-    journal = opened(tmp_path)
+    journal = open_journal(tmp_path)
     outstanding = journal.record_accepted(message())
     journal.close()
     other = os.open(tmp_path / "other", os.O_RDWR | os.O_CREAT)
@@ -327,7 +327,7 @@
     tmp_path: Path, began: bool, requeue: bool
 ) -> None:
     async def story() -> None:
-        before = opened(tmp_path)
+        before = open_journal(tmp_path)
         outstanding = before.record_accepted(message(cls="gone"))
         if began:
             before.record_attempt(outstanding, 999_000.0, "a")
@@ -348,7 +348,7 @@
 ) -> None:
     async def story() -> None:
         transport = ControlledTransport()
-        before = opened(tmp_path)
+        before = open_journal(tmp_path)
         before.record_attempt(before.record_accepted(message(cls="keyed")), Clock.now + 600_000.0, "a")
         before.close()
         core = core_on(tmp_path, transport)
@@ -370,7 +370,7 @@
         ("e", 20.0, None),
         ("f", 95.0, 7),
     ]
-    old = opened(tmp_path)
+    old = open_journal(tmp_path)
     for message_id, expires, key in rows:
         old.record_accepted(message(message_id, "ordered", expires, key))
     expected = ["e", "b", "d", "c", "a", "f"]
@@ -387,7 +387,7 @@
 
     (tmp_path / "none").mkdir()
     play(story())
-    new = opened(tmp_path)
+    new = open_journal(tmp_path)
     old.close()
     assert [
         outstanding.message.id for part in new.take_over("journal") or () for outstanding in part
@@ -395,10 +395,10 @@
 
 
 def test_takeover_interrupted_by_a_crash_keeps_the_order_of_an_ordering_key(tmp_path: Path) -> None:
-    old = opened(tmp_path)
+    old = open_journal(tmp_path)
     for n in range(60):
         old.record_accepted(message(f"m{n}", "ordered", 1000.0, 7))
-    new = opened(tmp_path)
+    new = open_journal(tmp_path)
     old.close()
     takeover = new.take_over("journal")
     assert isinstance(takeover, Generator)
@@ -407,7 +407,7 @@
     takeover.close()
     new.close()  # the other file is left in its reverse order
     (tmp_path / "journal.1").unlink()
-    assert list(opened(tmp_path).outstanding) == [f"m{n}" for n in range(25, 60)]
+    assert list(open_journal(tmp_path).outstanding) == [f"m{n}" for n in range(25, 60)]
 
 
 def test_first_ambiguous_attempt_is_kept_over_several_restarts(tmp_path: Path) -> None:
@@ -436,7 +436,7 @@
 @pytest.mark.parametrize("slices", range(0, 7))
 def test_shutdown_during_a_takeover_leaves_each_message_in_one_file(tmp_path: Path, slices: int) -> None:
     async def story() -> None:
-        new = left_behind(tmp_path, 80)
+        new = open_successor(tmp_path, 80)
         dispatcher = Dispatcher(Policy(SETTINGS, 1), Clock(), Telemetry())
         core = Core(
             dispatcher, SETTINGS, new, EndpointList(), ControlledTransport(), RecordingNotifier(), Telemetry()
@@ -457,7 +457,7 @@
         new.close()
         await asyncio.wait({task})
         del task
-        assert set(opened(tmp_path, 3_000_000).outstanding) == {f"m{n}" for n in range(80)}
+        assert set(open_journal(tmp_path, 3_000_000).outstanding) == {f"m{n}" for n in range(80)}
 
     play(story())
 
@@ -465,7 +465,7 @@
 def test_recovered_messages_count_against_the_queue_capacity_before_new_ones(tmp_path: Path) -> None:
     async def story() -> None:
         transport = ControlledTransport()
-        before = opened(tmp_path)
+        before = open_journal(tmp_path)
         for n in range(3):
             before.record_accepted(message(f"m{n}", "unsafe"))
         before.close()
@@ -509,7 +509,7 @@
         await (request_received.wait() if crossing else asyncio.sleep(0))
         await core.abandon()
         core.journal.close()
-        outstanding_messages = opened(tmp_path).outstanding.values()
+        outstanding_messages = open_journal(tmp_path).outstanding.values()
         assert len(outstanding_messages) == 3 and {
             outstanding.first_ambiguous() is not None for outstanding in outstanding_messages
         } == {request_received.is_set()}
