--- a/kestreltrack/decision/__init__.py
+++ b/kestreltrack/decision/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of the sender: settings, events and actions are the interface, `Policy` decides.
+"""The decisions of the sender: `Policy` makes them; settings, events and actions are its interface.
 
 `docs/design.md` describes the decisions.
 """
--- a/kestreltrack/decision/actions.py
+++ b/kestreltrack/decision/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision module decides on; times are milliseconds."""
+"""The actions that the decision module returns; times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the message to an endpoint, for at most `timeout_ms`."""
+    """Send the message to an endpoint and wait for the answer for at most `timeout_ms`."""
 
     id: str
     endpoint: str
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt in flight: stop waiting for its answer."""
+    """Cancel an attempt in flight and stop waiting for its answer."""
 
     id: str
     attempt: int
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectMessage:
-    """The final answer that the message is handed back: trying again is harmless."""
+    """Final answer: hand the message back. The client may safely submit it again."""
 
     id: str
     retry_after_ms: float = 0.0
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailMessage:
-    """The final answer that the message has failed: it may have been executed."""
+    """Final answer: the message has failed and may have been executed."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerExpired` after a delay."""
+    """Request a `TimerExpired` event after a delay."""
 
     delay_ms: float
     token: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """Poll service discovery for changes from now on."""
+    """Start polling service discovery for changes."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/kestreltrack/decision/endpoint_setup.py
+++ b/kestreltrack/decision/endpoint_setup.py
@@ -1,4 +1,4 @@
-"""Makes the records of endpoints that are new on the list, from the settings and the list's entry."""
+"""Creates the records of new endpoints from the settings and the entries of the endpoint list."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def new_endpoint(
     entry: EndpointEntry, destination: Destination, settings: Settings, cost_bias: float
 ) -> Endpoint:
-    """Return a new endpoint; by a bias of their costs not all senders choose the same one."""
+    """Return a new endpoint; `cost_bias` is random, so that not all senders prefer the same endpoint."""
     kind = settings.kinds.get(entry.kind, KindSettings())
     fixed_cost_ms = HANDSHAKE_MS * cost_bias
     limits = [new_limits(settings, destination, entry, kind.independent_endpoints)]
@@ -28,7 +28,7 @@
 def new_limits(
     settings: Settings, destination: Destination, entry: EndpointEntry, independent: bool
 ) -> CallLimits:
-    """Return the limits of calls to an endpoint, or to its destination, before any evidence."""
+    """Return the initial limits of calls to an endpoint, or to its destination."""
     unknown = settings.rate_accuracy is RateAccuracy.NONE
     base_rate = DEFAULT_RATE_PER_S if unknown or entry.rate <= 0 else entry.rate
     margin = 1.0 if settings.rate_accuracy is RateAccuracy.EXACT else APPROXIMATE_RATE_MARGIN
--- a/kestreltrack/decision/events.py
+++ b/kestreltrack/decision/events.py
@@ -1,6 +1,6 @@
-"""The events that the decision module takes.
+"""The events that the decision module handles.
 
-Times are milliseconds of one clock that only goes forward; the caller supplies it with every step.
+Times are in milliseconds on a monotonic clock that the caller reads and passes with every step.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class EndpointLifecycle(Enum):
-    """The state of an endpoint on the endpoint list, which says nothing of its health."""
+    """The state of an endpoint on the endpoint list, which is independent of its health."""
 
     UP = "up"
     DRAINING = "draining"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One entry of the endpoint list; the rate is in calls a second, or 0 where it is unknown."""
+    """One entry of the endpoint list; the rate is in calls per second, or 0 if it is unknown."""
 
     endpoint: str
     dest: int
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """The complete list, without the endpoints that were removed, or the entries that changed.
+    """The complete endpoint list without removed endpoints, or only the entries that changed.
 
-    `cached`: it is one that the sender had stored, not an answer of service discovery.
+    `cached`: the list was stored by the sender and is no answer of service discovery.
     """
 
     entries: Sequence[EndpointEntry]
@@ -51,11 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageArrived:
-    """A message was submitted, or is still queued after a restart; a final answer is due before `expires`.
+    """A message was submitted, or recovered after a restart; its final answer is due before `expires`.
 
-    `accepted`: the process before a restart had accepted it, or a sender whose messages were taken over: it is not
-    rejected. `attempts` then counts its attempts so far; `ambiguous_since` and `ambiguous_zone` tell when and where
-    the first of them started that may have executed it.
+    `accepted`: the process before a restart, or a sender whose messages were taken over, had accepted the
+    message, so it is not rejected. `attempts` then counts its attempts so far; `ambiguous_since` and
+    `ambiguous_zone` are the start and the zone of the first attempt that may have executed it.
     """
 
     id: str
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The single outcome of one attempt."""
+    """An attempt ended; there is exactly one such event for each attempt."""
 
     id: str
     attempt: int
@@ -82,23 +82,23 @@
     final: bool
     retry_after_ms: float = 0.0
     quota_left: float | None = None  # share of the limit that is left
-    rate_limit: float | None = None  # calls a second that the limit allows
-    # It broke on a connection kept from an earlier call, which may have ended on its own.
+    rate_limit: float | None = None  # limit in calls per second
+    # It broke on a connection kept from an earlier call, which may have been closed for other reasons.
     stale_connection: bool = False
-    # Against the limit of attempts: not so where it never left the sender.
+    # Counts against the limit of attempts; false if the attempt never left the sender.
     counted: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
-    """The client withdrew the message: no answer is due any more."""
+    """The client withdrew the message; no final answer is due any more."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer set by a `SetTimer` has expired."""
+    """A timer that `SetTimer` requested has expired."""
 
     token: int
 
@@ -107,7 +107,7 @@
 class ShutdownStarted:
     """The sender shuts down.
 
-    An attempt that has not ended by the deadline may be executed without anybody learning of it.
+    The outcome of an attempt that has not ended by the deadline is lost, although it may be executed.
     """
 
     deadline: float
@@ -115,17 +115,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderCountChanged:
-    """So many senders, this one among them, share each destination's limit from now on."""
+    """The number of senders that share the limit of each destination, including this one, has changed."""
 
     sender_count: int
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAfterReceived:
-    """Another caller of a destination received a retry-after: this sender's other process, or another sender.
+    """Another caller of a destination, the sender's other process or another sender, received a retry-after.
 
-    It binds all endpoints of the destination, also where they are independent of each other. `rejected`: it counts
-    like a call from here that was rejected, as that of the other process does; else nothing goes until then.
+    It applies to all endpoints of the destination, even if they are independent of each other. `rejected`: it
+    also counts as a rejected call of this process, as one of the other process does; otherwise it only blocks
+    calls.
     """
 
     dest: int
@@ -135,10 +136,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaLeased:
-    """The fleet shares the cold budget of a destination: `share` of it is this sender's until `until`.
+    """This sender holds a lease on `share` of the cold budget of a destination until `until`.
 
-    During an outage of the destination, a share over 0 is the right to one trial call, and without one none goes.
-    Where the lease is over and no other came, the sender goes by its own evidence again.
+    During an outage of the destination, a share above 0 permits one trial call, and a share of 0 none. The
+    sender relies on its own evidence again after a lease that is not renewed.
     """
 
     dest: int
@@ -148,9 +149,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReported:
-    """What the fleet knows of a destination's health, by an answer or a failure at `at`; up again since `since`.
+    """The health of a destination as known to the fleet, from an answer or a failure at `at`.
 
-    A sender with newer evidence of its own goes by that.
+    `since` is the time of its recovery. Newer evidence of this sender takes precedence.
     """
 
     dest: int
--- a/kestreltrack/decision/settings.py
+++ b/kestreltrack/decision/settings.py
@@ -1,6 +1,6 @@
 """The settings of the decision module.
 
-Times are milliseconds. Names of classes, kinds and zones are opaque text.
+Times are in milliseconds. The names of classes, kinds and zones are opaque strings.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a message may do at its destination."""
+    """Whether the destination may execute a message a second time."""
 
     IDEMPOTENT = "safe"  # repeating is harmless
-    KEYED = "keyed"  # the destination drops repeats for a while
-    NOT_IDEMPOTENT = "unsafe"  # must never take effect twice
+    KEYED = "keyed"  # the destination drops repeats within the deduplication window
+    NOT_IDEMPOTENT = "unsafe"  # must never be executed twice
 
 
 class DeduplicationScope(Enum):
@@ -26,14 +26,14 @@
 
 
 class PriorityDecay(Enum):
-    """How a message loses priority weight after its latency objective."""
+    """How the priority weight of a message decays after its latency objective."""
 
     LINEAR = "line"
     HALVING = "halves"
 
 
 class RateAccuracy(Enum):
-    """What the rate figure of a listed endpoint means."""
+    """What the rate of an entry of the endpoint list means."""
 
     NONE = "none"
     EXACT = "exact"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of messages."""
+    """The settings of one class of messages."""
 
     latency_objective_ms: float
     deadline_ms: float
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KindSettings:
-    """One kind of destination."""
+    """The settings of one kind of destination."""
 
     independent_endpoints: bool = False
     max_batch_size: int = 1
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyLimits:
-    """The limits that the safety rules set; times are milliseconds."""
+    """The limits that the safety rules set."""
 
     answer_slack_ms: float
     drain_grace_ms: float
@@ -98,11 +98,11 @@
     keepalive_ms: float = 15000.0
     connect_timeout_ms: float = 1000.0
     requests_per_connection: int = 1
-    load_reports: bool = False  # answers of endpoints report their limit
+    load_reports: bool = False  # endpoints report their limit with their answers
 
     def __post_init__(self) -> None:
-        """Check the ranges; raises `ValueError` that names the setting at fault."""
-        s = self.safety
+        """Check the ranges; raises a `ValueError` that names the invalid setting."""
+        safety = self.safety
         checks = {
             "classes": bool(self.classes),
             "slots": self.concurrency_limit >= 1,
@@ -111,14 +111,14 @@
             "relays": self.sender_count >= 1,
             "multiplex": self.requests_per_connection >= 1,
             "max_wait_ms": self.max_retry_after_ms >= 0,
-            "safety.answer_slack_ms": s.answer_slack_ms >= 0,
-            "safety.drain_grace_ms": s.drain_grace_ms >= 0,
-            "safety.cold_share": 0 < s.cold_start_share <= 1,
-            "safety.warm_after_ms": s.warm_up_ms >= 0,
-            "safety.overload_factor": s.overload_factor > 0,
-            "safety.tip_after_ms": s.overload_window_ms > 0,
-            "safety.settle_ms": s.settle_ms >= 0,
-            "safety.ask_every_ms": s.poll_interval_ms > 0 or not self.must_poll,
+            "safety.answer_slack_ms": safety.answer_slack_ms >= 0,
+            "safety.drain_grace_ms": safety.drain_grace_ms >= 0,
+            "safety.cold_share": 0 < safety.cold_start_share <= 1,
+            "safety.warm_after_ms": safety.warm_up_ms >= 0,
+            "safety.overload_factor": safety.overload_factor > 0,
+            "safety.tip_after_ms": safety.overload_window_ms > 0,
+            "safety.settle_ms": safety.settle_ms >= 0,
+            "safety.ask_every_ms": safety.poll_interval_ms > 0 or not self.must_poll,
         }
         for name, cls in self.classes.items():
             checks[f"classes.{name}.aim_ms"] = cls.latency_objective_ms > 0
@@ -128,6 +128,6 @@
             )
         for name, kind in self.kinds.items():
             checks[f"kinds.{name}.batch"] = kind.max_batch_size >= 1
-        for setting, sound in checks.items():
-            if not sound:
+        for setting, valid in checks.items():
+            if not valid:
                 raise ValueError(f"setting {setting} is missing or out of range")
