--- a/kestreltrack/decision/event_handling.py
+++ b/kestreltrack/decision/event_handling.py
@@ -1,6 +1,6 @@
-"""Takes events to the modules that decide about them, and messages from their arrival to the final answer.
+"""Dispatches events to the decision modules, and handles messages from their arrival to the final answer.
 
-There is no threshold and no choice here: those stand in the modules that `deploy/balancer.toml` names.
+Thresholds and choices belong in the modules that `deploy/balancer.toml` lists under `policy`, not here.
 """
 
 from __future__ import annotations
@@ -38,20 +38,20 @@
 
 
 class EventHandler(DeliveryState):
-    """A state that takes events; `Policy` decides what to do."""
+    """A state that handles events; `Policy` decides which actions follow."""
 
     def step(self, now: float, events: Iterable[Event]) -> Sequence[Action]:
-        """Handle events, and decide."""
+        """Handle events, and return the actions that follow."""
         for event in events:
             self.handle(now, event)
         return self.decide(now)
 
     def decide(self, now: float) -> Sequence[Action]:
-        """Return the actions about all that was handled since the last decision, in order."""
+        """Return the actions that follow from the events since the last decision, in order."""
         raise NotImplementedError
 
     def handle(self, now: float, event: Event) -> None:
-        """Learn of an event; raises `ValueError` where the clock would go backwards."""
+        """Handle an event; raises `ValueError` if the clock would go backwards."""
         self.advance(now)
         match event:
             case MessageArrived():
@@ -76,13 +76,13 @@
     def _handle_shared_evidence(
         self, event: SenderCountChanged | RetryAfterReceived | QuotaLeased | HealthReported
     ) -> None:
-        """Learn what other senders tell."""
+        """Handle an event that stems from other senders."""
         match event:
             case SenderCountChanged():
                 self.set_sender_count(event)
             case RetryAfterReceived():
                 evidence.apply_retry_after(self, event)
-                self.destination(event.dest).endpoints.forget_selectable()
+                self.destination(event.dest).endpoints.invalidate_selectable()
             case QuotaLeased():
                 evidence.apply_quota_lease(self, event)
             case HealthReported():
@@ -92,7 +92,7 @@
         return new_endpoint(entry, destination, self.settings, self.random.random())
 
     def _handle_arrival(self, event: MessageArrived) -> None:
-        """Queue a message and tag it, or answer it at once."""
+        """Queue a message and assign its tags, or give its final answer at once."""
         destination = self.destination(event.dest)
         class_settings = self.settings.classes[event.cls]
         self.sequence += 1
@@ -109,7 +109,7 @@
             fair_queue.assign_tags(self, message)
 
     def _handle_attempt_end(self, event: AttemptEnded) -> None:
-        """Learn from an attempt; its message is queued again where it is not over."""
+        """Evaluate an ended attempt, and queue its message again unless it has its final answer."""
         call = self.end_attempt(event)
         if event.outcome is not Outcome.NOT_SENT:
             evidence.learn_from_attempt(self, call, event)
@@ -120,7 +120,7 @@
             return
         self.requeue(message, call, event)
         if event.outcome is Outcome.NOT_SENT:
-            # Whatever kept it here would do so again at once.
+            # Whatever prevented the attempt would prevent an immediate one as well.
             message.retry_not_before = self.now + circuit_breaker.FIRST_PAUSE_MS
         self.schedule_expiry(message, message_rules.give_up_at(message))
         reason = message_rules.final_reason(self, message)
@@ -128,7 +128,7 @@
             self._give_final_answer(message, reason)
 
     def _give_final_answer(self, message: Message, reason: str) -> None:
-        """Give a message up; the reason is for who traces."""
+        """Hand a message back or fail it; a tracing subclass reports the reason."""
         if message_rules.safe_to_retry(message):
             self.actions.append(RejectMessage(message.id, self.settings.max_retry_after_ms))
         else:
@@ -136,5 +136,5 @@
         self.remove_message(message.id)
 
     def _handle_overdue(self, call: Call, overdue_factor: float) -> None:
-        """Take a call without an answer as evidence, and cancel it in the end."""
+        """Handle a call without an answer; a tracing subclass reports what is cancelled."""
         circuit_breaker.handle_overdue(self, call, overdue_factor)
--- a/kestreltrack/decision/message_rules.py
+++ b/kestreltrack/decision/message_rules.py
@@ -1,39 +1,49 @@
-"""Which messages are admitted, attempted again and where, given up or handed back ("Ends", "Admission")."""
+"""Which messages are admitted, attempted again and where, failed or handed back.
+
+See `docs/design.md`, "Ends" and "Admission".
+"""
 
 from kestreltrack.decision.records import Message
 from kestreltrack.decision.settings import DeduplicationScope, Idempotency
 from kestreltrack.decision.state import DeliveryState
 
-GIVE_UP_MS, MIN_ATTEMPT_LATENCIES = 150.0, 2.0  # of its time left when it is answered; left for an attempt
-PROTECTED_SHARE = 0.7  # of its time: so long a message stays that was accepted and surely was not executed
-SHED_AT = 0.85  # share of the capacity from which what has stayed is handed back, the longest wait first
-MAX_QUEUED_HEALTHY, MAX_QUEUED_UNHEALTHY = 6.0, 2.0  # most of a destination at an arrival, in free capacities
+# Time left until the expiry when the final answer is given.
+GIVE_UP_MS = 150.0
+# Time that has to be left for an attempt, in mean latencies.
+MIN_ATTEMPT_LATENCIES = 2.0
+# Share of its time for which a message is not handed back, unless it may have been executed.
+PROTECTED_SHARE = 0.7
+# Share of the queue capacity above which unprotected messages are handed back, longest expected wait first.
+SHED_THRESHOLD = 0.85
+# Most queued messages of one destination at an arrival, as a multiple of the free queue capacity.
+MAX_QUEUED_HEALTHY = 6.0
+MAX_QUEUED_UNHEALTHY = 2.0
 
 
 def must_not_repeat(message: Message) -> bool:
-    """Return whether it may have been executed and must not be executed twice."""
+    """Return whether the message may have been executed and must not be executed twice."""
     return message.is_ambiguous() and message.class_settings.idempotency is Idempotency.NOT_IDEMPOTENT
 
 
 def bound_to_zone(message: Message) -> bool:
-    """Return whether it may go only to the zone that remembers its first ambiguous attempt."""
+    """Return whether the message may be sent only to the zone that has its idempotency key."""
     settings = message.class_settings
     keyed_by_zone = settings.deduplication_scope is DeduplicationScope.ZONE
     return message.is_ambiguous() and settings.idempotency is Idempotency.KEYED and keyed_by_zone
 
 
 def safe_to_retry(message: Message) -> bool:
-    """Return whether the client may be told that trying again does no harm."""
+    """Return whether the client may be told that a retry is harmless."""
     return not (bound_to_zone(message) or must_not_repeat(message))
 
 
-def fits_zones(message: Message, zones: set[str]) -> bool:
-    """Return whether endpoints in these zones may have the message."""
+def allows_zones(message: Message, zones: set[str]) -> bool:
+    """Return whether the message may be sent to endpoints in these zones."""
     return message.ambiguous_zone in zones or not bound_to_zone(message)
 
 
 def blocking_rule(message: Message, now: float, zones: set[str]) -> str:
-    """Return what keeps the message from going now to these zones, or nothing."""
+    """Return the rule that blocks the message now for endpoints in these zones, or an empty text."""
     queue = message.key_queue
     if now < message.retry_not_before:
         return "not sent"
@@ -41,21 +51,21 @@
         return "key held"
     if queue and now < queue.settling_until and queue.settling_message != message.id:
         return "key rests"
-    return "" if fits_zones(message, zones) else "in doubt elsewhere"
+    return "" if allows_zones(message, zones) else "in doubt elsewhere"
 
 
 def has_time_left(message: Message, now: float) -> bool:
-    """Return whether an attempt that goes now can end before the message expires."""
+    """Return whether an attempt that starts now can end before the message expires."""
     return message.expires > now + GIVE_UP_MS + MIN_ATTEMPT_LATENCIES * message.destination.mean_latency_ms
 
 
-def may_go(message: Message, now: float, zones: set[str]) -> bool:
-    """Return whether an attempt may go now to these zones."""
+def may_be_sent(message: Message, now: float, zones: set[str]) -> bool:
+    """Return whether an attempt to endpoints in these zones may start now."""
     return has_time_left(message, now) and not blocking_rule(message, now, zones)
 
 
 def final_reason(state: DeliveryState, message: Message) -> str:
-    """Return why no further attempt may ever go, or nothing."""
+    """Return why no further attempt is allowed, or an empty text."""
     if must_not_repeat(message):
         return "in doubt"
     spent = message.attempts - message.uncounted_attempts >= state.settings.max_attempts
@@ -63,8 +73,9 @@
 
 
 def give_up_at(message: Message) -> float:
-    """Return when it is given up: no attempt may go any more, and it need not stay."""
-    settings, forgotten_at = message.class_settings, message.expires
+    """Return when to give the message up: no attempt may start any more, and it is not protected."""
+    settings = message.class_settings
+    forgotten_at = message.expires
     if settings.idempotency is Idempotency.KEYED:
         forgotten_at = message.ambiguous_since + settings.deduplication_window_ms
     last_start = message.expires - MIN_ATTEMPT_LATENCIES * message.destination.mean_latency_ms - GIVE_UP_MS
@@ -74,20 +85,25 @@
 
 
 def rejection_reason(state: DeliveryState, message: Message) -> str:
-    """Return why an arrival is rejected, by dynamic thresholds that leave capacity to others, or nothing."""
+    """Return why an arriving message is rejected, or an empty text.
+
+    The limit of each destination falls with the free capacity, which leaves room for other destinations.
+    """
     free = state.settings.queue_capacity - len(state.messages) + 1
     most = MAX_QUEUED_UNHEALTHY if message.destination.unhealthy else MAX_QUEUED_HEALTHY
     return "hold full" if len(message.destination.queued) > most * free and not message.accepted else ""
 
 
 def message_to_shed(state: DeliveryState) -> Message | None:
-    """Return the message that is handed back first while the queue is nearly full."""
-    if len(state.messages) <= SHED_AT * state.settings.queue_capacity:
+    """Return the message to hand back first while the queue is nearly full."""
+    if len(state.messages) <= SHED_THRESHOLD * state.settings.queue_capacity:
         return None
     queued = (m for d in state.active_destinations.values() for m in d.queued.values() if not m.accepted)
-    stayed = [m for m in queued if safe_to_retry(m) and (m.protected_until <= state.now or m.is_ambiguous())]
+    unprotected = [
+        m for m in queued if safe_to_retry(m) and (m.protected_until <= state.now or m.is_ambiguous())
+    ]
 
     def rank(message: Message) -> tuple[bool, int, float]:
         return message.destination.unhealthy, len(message.destination.queued), message.finish_tag
 
-    return max(stayed, key=rank, default=None)
+    return max(unprotected, key=rank, default=None)
--- a/kestreltrack/decision/policy.py
+++ b/kestreltrack/decision/policy.py
@@ -1,4 +1,7 @@
-"""Decisions (interface: `settings.py`, `events.py`, `actions.py`, `outcomes.py`); see `docs/design.md`."""
+"""The decisions of one sender, which `docs/design.md` describes.
+
+The interface consists of `settings.py`, `events.py`, `actions.py` and `outcomes.py`.
+"""
 
 from collections.abc import Sequence
 
@@ -8,20 +11,24 @@
 from kestreltrack.decision.event_handling import EventHandler
 from kestreltrack.decision.records import Destination, Message
 
-TICK_MS = 50.0  # how often silence, expiry and pauses are looked at: small beside any latency objective
-MAX_SLOT_SHARE, MAX_SLOT_SHARE_UNHEALTHY = 0.75, 0.5  # of the slots for one destination
-SHUTDOWN_LATENCIES = 3.0  # mean latencies that must be left before a shutdown: most calls end within them
+# Interval at which overdue calls, expiry and pauses are checked; short compared with any latency objective.
+TICK_MS = 50.0
+# Largest share of the slots that one destination may take.
+MAX_SLOT_SHARE = 0.75
+MAX_SLOT_SHARE_UNHEALTHY = 0.5
+# Time that must be left before a shutdown, in mean latencies, within which most calls end.
+SHUTDOWN_LATENCIES = 3.0
 
 
 class Policy(EventHandler):
-    """The decisions of one sender: `step` takes the events of a moment and returns the actions."""
+    """The decisions of one sender: `step` handles events and returns the actions that follow."""
 
     def decide(self, now: float) -> Sequence[Action]:
-        """Return the actions about all that was handled since the last decision, in order."""
+        """Return the actions that follow from the events since the last decision, in order."""
         self.advance(now)
         poll_if_due(self)
-        self._watch_calls()
-        self._give_up()
+        self._handle_overdue_calls()
+        self._give_up_messages()
         self._dispatch()
         self.forget_idle()
         if not self.timer_is_set and (self.messages or self.calls or not self.subscribed):
@@ -30,33 +37,34 @@
         return self.take_actions()
 
     def permits(self, now: float, dest: int, endpoint_name: str) -> bool:
-        """Return whether an attempt may still go, which is asked again once its connection is up."""
+        """Return whether an attempt may still be sent, checked again once it has a connection."""
         endpoint = self.destinations[dest].endpoints.get(endpoint_name) if dest in self.destinations else None
         return bool(endpoint and endpoint.accepts_calls and not endpoint.limits[0].retry_after_active(now))
 
     def blocking_rule(self, destination: Destination) -> str:
-        """Return what keeps all messages of a destination from going now, or nothing."""
+        """Return the rule that blocks all messages of a destination now, or an empty text."""
         share = MAX_SLOT_SHARE_UNHEALTHY if destination.unhealthy else MAX_SLOT_SHARE
         if destination.in_flight >= max(1, int(self.settings.concurrency_limit * share)):
             return "cap"
         if self.now + SHUTDOWN_LATENCIES * destination.usual_latency_ms() > self.shutdown_deadline:
             return "stopping"
-        limits = destination.limits  # once for all of its endpoints: most steps find it so
+        # Limits that the endpoints share are checked once for all of them, which is enough in most steps.
+        limits = destination.limits
         return endpoint_selection.blocking_rule(limits, self.now) if limits else ""
 
-    def _watch_calls(self) -> None:
+    def _handle_overdue_calls(self) -> None:
         for destination in self.active_destinations.values():
             destination.unhealthy = destination.has_unhealthy_endpoint()
-            limit_ms = circuit_breaker.overdue_after_ms(destination)
-            for call in self.calls_older_than(destination, limit_ms):
+            overdue_ms = circuit_breaker.overdue_after_ms(destination)
+            for call in self.calls_older_than(destination, overdue_ms):
                 destination.unhealthy = True
-                self._handle_overdue(call, (self.now - call.started_at) / limit_ms)
+                self._handle_overdue(call, (self.now - call.started_at) / overdue_ms)
 
-    def _give_up(self) -> None:
+    def _give_up_messages(self) -> None:
         for message in self.pop_due():
             if message_rules.give_up_at(message) <= self.now:
                 self._give_final_answer(message, "no time")
-            else:  # its destination has become faster
+            else:  # its destination has become faster, which leaves more time
                 self.schedule_expiry(message, message_rules.give_up_at(message))
         while (message_to_shed := message_rules.message_to_shed(self)) is not None:
             self._give_final_answer(message_to_shed, "hold full")
@@ -71,7 +79,8 @@
             eligible = [m for m in ready if m.start_tag <= self.now + self.virtual_time_shift]
             if eligible:
                 message = min(eligible, key=lambda m: m.finish_tag)
-                self._start_call(message)  # which changes no other destination
+                # A call changes no other destination, so only this first message is selected again.
+                self._start_call(message)
                 firsts[id(message.destination)] = self._first_message(message.destination)
             elif ready:
                 fair_queue.synchronize(self, ready)
@@ -86,7 +95,7 @@
         return fair_queue.first_message(self, destination, ready) if ready else None
 
     def _start_call(self, first: Message) -> None:
-        # One call to the best endpoint, filled up to its batch size.
+        # One call to the best endpoint, with further messages up to the maximum batch size.
         endpoint = endpoint_selection.best_endpoint(self, first)
         capacity = 1 if endpoint.is_unhealthy() else endpoint.max_batch_size
         call = self.start_call(endpoint)
@@ -94,6 +103,8 @@
             circuit_breaker.record_call(limits, call, self.now)
         others = sorted(first.destination.queued.values(), key=lambda m: m.finish_tag) if capacity > 1 else ()
         for message in (first, *(other for other in others if other is not first)):
-            if len(call.attempts) < capacity and message_rules.may_go(message, self.now, {endpoint.zone}):
+            if len(call.attempts) < capacity and message_rules.may_be_sent(
+                message, self.now, {endpoint.zone}
+            ):
                 timeout_ms = max(1.0, message.expires - message_rules.GIVE_UP_MS - self.now)
                 self.start_attempt(call, message, timeout_ms)
--- a/kestreltrack/decision/state.py
+++ b/kestreltrack/decision/state.py
@@ -1,4 +1,4 @@
-"""All that the decision module knows: what is added, moved and removed, without a choice."""
+"""The state of the decision module, with methods that add, move and remove records without a choice."""
 
 from __future__ import annotations
 
@@ -29,49 +29,49 @@
 
 
 class DeliveryState:
-    """Messages, calls and destinations of one sender, and the actions that are not yet handed over."""
+    """The messages, calls and destinations of one sender, and the actions that are not yet taken."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.now = NEVER
-        # How far the tags of the fair queue were shifted back in all.
+        # Total shift of the virtual time of the fair queue.
         self.virtual_time_shift = 0.0
         self.in_flight = 0
         self.destinations = dict[int, Destination]()
-        # Those with messages queued or calls in flight: a step walks only these.
+        # Destinations with queued messages or calls in flight; a step visits only these.
         self.active_destinations = dict[int, Destination]()
         self.key_queues = dict[int, KeyQueue]()
         self.messages = dict[str, Message]()
-        # When a message may have to be given up, its sequence number and id.
+        # Time at which a message may have to be given up, its sequence number and its id.
         self.expiry_heap = list[tuple[float, int, str]]()
-        # Of the newest message.
+        # Sequence number of the newest message.
         self.sequence = 0
         self.calls = dict[tuple[str, int], tuple[Call, KeyQueue | None]]()
         self.actions = list[Action]()
         self.shutdown_deadline = UNLIMITED
-        # Kinds of destinations that were found short of connections.
+        # Kinds of destinations whose connections were exhausted.
         self.scarce_connection_kinds = set[str]()
         # Destinations with endpoints that have left the list.
         self.draining_destinations = set[int]()
         self.timer_is_set = False
-        # Whether service discovery will tell of changes without another poll.
+        # Whether service discovery reports changes without another poll.
         self.subscribed = not settings.must_poll
         self.next_poll_at = NEVER
         self.poll_backoff_ms = 0.0
 
     def advance(self, now: float) -> None:
-        """Move the clock; raises `ValueError` where it would go backwards."""
+        """Advance the clock; raises `ValueError` if it would go backwards."""
         if now < self.now:
             raise ValueError(f"time went backwards: {now} after {self.now}")
         self.now = now
 
     def destination(self, number: int) -> Destination:
-        """Return a destination, a new one where it is not known."""
+        """Return a destination, which is created if it is not known."""
         return self.destinations.setdefault(number, Destination())
 
     def enqueue(self, message: Message, number: int, key: int | None) -> None:
-        """Take a new message into the queues of its destination and of its key, where it has one."""
+        """Add a new message to the queue of its destination, and to that of its ordering key if any."""
         self.messages[message.id] = message
         if message.class_settings.in_order and key is not None:
             message.key_queue = self.key_queues.setdefault(key, KeyQueue())
@@ -80,30 +80,30 @@
         if number not in self.active_destinations:
             self.active_destinations[number] = destination
             if destination.virtual_time_shift != self.virtual_time_shift:
-                destination.tokens = UNLIMITED  # refilled while idle
+                destination.tokens = UNLIMITED  # refilled while it was idle
         destination.queued[message.id] = message
         destination.arrivals += 1
 
     def calls_older_than(self, destination: Destination, age_ms: float) -> list[Call]:
-        """Return the calls in flight to a destination that have lasted so long."""
+        """Return the calls in flight to a destination that are at least this old."""
         if not destination.in_flight:
             return []
         calls = [call for endpoint in destination.endpoints.selectable() for call in endpoint.calls]
         return [call for call in calls if self.now - call.started_at >= age_ms]
 
     def schedule_expiry(self, message: Message, at: float) -> None:
-        """Look at the message again when it may have to be given up."""
+        """Schedule a check of whether the message has to be given up."""
         heapq.heappush(self.expiry_heap, (at, message.sequence, message.id))
 
     def pop_due(self) -> Iterator[Message]:
-        """Yield the queued messages that were scheduled for now; one in flight is scheduled anew later."""
+        """Yield the queued messages whose check is due; the end of an attempt schedules another one."""
         while self.expiry_heap and self.expiry_heap[0][0] <= self.now:
             message = self.messages.get(heapq.heappop(self.expiry_heap)[2])
             if message is not None and message.id in message.destination.queued:
                 yield message
 
     def remove_message(self, message_id: str) -> None:
-        """Forget a message that is over; its calls in flight keep holding its key."""
+        """Remove a message that has ended; its attempts in flight still block its ordering key."""
         message = self.messages.pop(message_id, None)
         if message is not None:
             message.destination.queued.pop(message_id, None)
@@ -111,15 +111,15 @@
                 message.key_queue.messages.pop(message_id, None)
 
     def start_call(self, endpoint: Endpoint) -> Call:
-        """Return a new call that goes now."""
-        call, settings = Call(endpoint, self.now), self.settings
-        endpoint.start_call(call, settings.requests_per_connection, settings.keepalive_ms)
+        """Start a call now and return it."""
+        call = Call(endpoint, self.now)
+        endpoint.start_call(call, self.settings.requests_per_connection, self.settings.keepalive_ms)
         self.in_flight += 1
         endpoint.destination.in_flight += 1
         return call
 
     def start_attempt(self, call: Call, message: Message, timeout_ms: float) -> None:
-        """Let a call carry a queued message."""
+        """Start an attempt of a queued message as part of a call."""
         del message.destination.queued[message.id]
         call.attempts[message.id] = message.attempts
         self.calls[message.id, message.attempts] = (call, message.key_queue)
@@ -129,7 +129,7 @@
         self.actions.append(StartAttempt(message.id, call.endpoint.name, timeout_ms))
 
     def end_attempt(self, event: AttemptEnded) -> Call:
-        """Return the call of an attempt that has ended; with its last one the call ends."""
+        """End an attempt and return its call, which ends with its last attempt."""
         call, key_queue = self.calls.pop((event.id, event.attempt))
         del call.attempts[event.id]
         if not call.attempts:
@@ -145,7 +145,7 @@
         return call
 
     def requeue(self, message: Message, call: Call, event: AttemptEnded) -> None:
-        """Take a message back into the queue of its destination after an attempt."""
+        """Return a message to the queue of its destination after an attempt."""
         message.destination.queued[message.id] = message
         if event.outcome.may_have_executed():
             message.mark_ambiguous(call.started_at, call.endpoint.zone)
@@ -153,7 +153,7 @@
             message.uncounted_attempts += 1
 
     def set_sender_count(self, event: SenderCountChanged) -> None:
-        """Share all limits with so many senders from now on."""
+        """Set the number of senders that share the limits of all destinations."""
         self.settings = replace(self.settings, sender_count=event.sender_count)
         for destination in self.destinations.values():
             for endpoint in destination.endpoints.values():
@@ -163,7 +163,7 @@
     def update_endpoints(
         self, update: EndpointsUpdated, new_endpoint: Callable[[EndpointEntry, Destination], Endpoint]
     ) -> list[Endpoint]:
-        """Take over a list of endpoints, or its changes; a cached one says nothing of discovery.
+        """Apply an endpoint list or its changes; a cached list does not show that discovery works.
 
         Returns the endpoints that were draining and accept calls again.
         """
@@ -190,13 +190,13 @@
         return [endpoint for endpoint in draining if endpoint.accepts_calls]
 
     def _draining_endpoint(self, entry: EndpointEntry) -> list[Endpoint]:
-        """Return the endpoint of an entry where it is known as draining, or nothing."""
+        """Return the endpoint of an entry if it is known as draining, or an empty list."""
         destination = self.destinations.get(entry.dest)
         endpoint = destination.endpoints.get(entry.endpoint) if destination else None
         return [endpoint] if endpoint and endpoint.listed and not endpoint.accepts_calls else []
 
     def _forget_removed_endpoints(self, number: int) -> None:
-        """Forget endpoints that have left the list: endpoints are replaced all day long."""
+        """Remove unlisted endpoints without calls and retry-after, as endpoints are replaced continually."""
         destination = self.destinations.get(number, Destination())
         destination.endpoints = EndpointTable(
             (name, endpoint)
@@ -209,21 +209,21 @@
             self.draining_destinations.add(number)
 
     def take_actions(self) -> list[Action]:
-        """Hand over the actions that have been decided."""
+        """Return the actions that have been decided, and clear them."""
         actions = self.actions
         self.actions = []
         return actions
 
     def forget_idle(self) -> None:
-        """Forget what is idle, so that a step walks only what is queued or in flight."""
+        """Remove idle destinations and key queues, so that a step visits only those in use."""
         idle = [n for n, d in self.active_destinations.items() if not (d.queued or d.in_flight)]
         for number in idle:
             destination = self.active_destinations.pop(number)
             destination.virtual_time_shift = self.virtual_time_shift
-            # Without endpoints it is known by its number alone, and any number may be asked for.
+            # Messages may name any number: destinations without endpoints would accumulate.
             if not (destination.endpoints or destination.limits or self.now < destination.retry_after_until):
                 del self.destinations[number]
-        # Now and then: keys may stay reserved for a while after their last message.
+        # Only from time to time: a key may stay reserved after its last message.
         if len(self.key_queues) > 2 * len(self.messages) + 16:
             self.key_queues = {
                 key: queue
