--- a/kestreltrack/sender/agreed_config.py
+++ b/kestreltrack/sender/agreed_config.py
@@ -1,6 +1,7 @@
-"""Has this sender act on the agreed documents: endpoints of destinations that it may not serve are set to draining.
+"""Enforces the fleet's replicated configuration on one sender.
 
-Attempts begin only while the read lease lasts: it is checked ten times a second, and before each attempt.
+Endpoints of destinations that this sender may not serve are reported to the decision module as draining.  Attempts
+start only while the sender holds a read lease, which is checked ten times a second and before each attempt.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class AgreedConfigEnforcer:
-    """Applies the agreed documents to one sender."""
+    """Applies the replicated configuration to one sender."""
 
     def __init__(
         self,
@@ -37,7 +38,19 @@
         clock: Clock,
         telemetry: Telemetry,
     ) -> None:
-        """Build the parts; raises `ValueError` for a lease that breaks the bound on the time to stop."""
+        """Create the replica without starting it.
+
+        Args:
+            membership: The fleet members; its handler of user messages is wrapped.
+            voters: The id of the state folder of each voter, by the voter's name; the first one is the leader.
+            lease_ms: Duration of a read lease.
+            state_dir: The state folder of this sender.
+            clock: Returns the time in milliseconds.
+            telemetry: Counts and logs.
+
+        Raises:
+            ValueError: `lease_ms` is out of range, or too long for the upper bound on the time to stop serving.
+        """
         lease_parameters = ReadLeaseParameters(lease_ms)
         self.membership = membership
         self.telemetry = telemetry
@@ -51,10 +64,11 @@
             telemetry,
         )
         self._check_interval_s = lease_parameters.lease_check_ms / 1000.0
-        self._notified_view = self.replicated_config.view()  # as the decision module knows it
+        # The view that the decision module was last notified of.
+        self._notified_view = self.replicated_config.view()
         self._core: Core | None = None
         self._closed = False
-        self._pass_on_user_message = membership.on_user_message
+        self._next_message_handler = membership.on_user_message
         membership.on_user_message = self._on_user_message
 
     def _on_user_message(self, name: str, data: bytes) -> None:
@@ -62,10 +76,10 @@
             self.replicated_config.receive(name, data)
             self._notify_changes()
         else:
-            self._pass_on_user_message(name, data)
+            self._next_message_handler(name, data)
 
     def enforce(self, core: Core) -> None:
-        """Apply the agreed documents to `core` from now on, in addition to the overrides that it has."""
+        """Apply the replicated configuration to `core` from now on, on top of the overrides that are already set."""
         self._core = core
         apply_other_overrides = core.dispatcher.apply_overrides
         core.dispatcher.apply_overrides = lambda update: self._drain_unserved(apply_other_overrides(update))
@@ -74,7 +88,8 @@
     def _may_serve(self, dest: int) -> bool:
         if self.replicated_config.view().serves(dest):
             return True
-        self._notify_changes()  # else the decision module would start the same attempt again and again
+        # Without this notification the decision module would keep starting the same attempt.
+        self._notify_changes()
         return False
 
     def _drain_unserved(self, update: EndpointsUpdated) -> EndpointsUpdated:
@@ -87,7 +102,7 @@
         return replace(update, entries=entries)
 
     def _notify_changes(self) -> None:
-        """Notify the decision module of the destinations that are served from now on, or no longer."""
+        """Notify the decision module of endpoints whose destination started or stopped being served."""
         previous = self._notified_view
         current = self.replicated_config.view()
         if self._core is None or current == previous:
@@ -104,14 +119,15 @@
             self._core.dispatcher.notify(EndpointsUpdated(to_endpoint_entries(changed), complete=False))
 
     async def run(self) -> None:
-        """Check the read lease ten times a second, without end."""
+        """Check the read lease periodically until cancelled."""
         while True:
             await asyncio.sleep(self._check_interval_s)
             try:
                 if not self._closed:
                     self._check()
             except Exception as error:
-                # It must not end the process that owes answers; without a lease no attempt begins.
+                # A fault here must not end the process, which still has clients to answer.  It is safe to continue:
+                # without a lease no attempt starts.
                 self.telemetry.record_fault("fleet.config_fault", error=repr(error))
 
     def _check(self) -> None:
@@ -134,15 +150,18 @@
         self.telemetry.record_fault("fleet.config_unreadable", error=str(error))
 
     def close(self) -> None:
-        """Begin no attempt any more: the next process of this name may act on newer documents."""
+        """Stop serving all destinations: the next process with this name may act on a newer configuration."""
         self._closed = True
         self.replicated_config.close()
         self._notify_changes()
 
     def propose(self, path: str) -> dict[str, Any]:
-        """Propose the document in a file, and return the status; raises `CommandRejectedError`.
+        """Propose the configuration document in a file, and return the status.
+
+        Reading an arbitrary path is acceptable: only the owner of the admin socket can send this command.
 
-        Only the owner of the admin socket can name a file.
+        Raises:
+            CommandRejectedError: The file cannot be read, or the proposal is rejected.
         """
         try:
             with Path(path).open("rb") as file:
