--- a/kestreltrack/sender/assembly.py
+++ b/kestreltrack/sender/assembly.py
@@ -1,6 +1,7 @@
-"""Builds the parts that the configuration asks for, and passes reloaded settings on to those that they concern.
+"""Composition root of a sender: creates its components from the configuration, and applies reloaded settings.
 
-This is the only module that knows all parts; `daemon.py` runs the process.
+This is the only module that depends on all components; `daemon.py` runs the process.  Optional components are
+imported only when the configuration enables them.
 """
 
 from __future__ import annotations
@@ -37,22 +38,23 @@
     from kestreltrack.sender.operations import Operations
     from kestreltrack.sender.recording import RecordingController
 
-# Idle connections are closed so long before the endpoint would close them.
+# Idle connections are closed this long before the endpoint would close them.
 IDLE_CLOSE_MARGIN_S = 0.5
-# Shares of the descriptors for sockets: clients' requests need a third of them.
+# Fractions of the sockets for connections from clients and to endpoints; client requests need a third of all sockets.
 CLIENT_SOCKET_SHARE = 0.45
 ENDPOINT_SOCKET_SHARE = 0.25
-# Descriptors for all else: 17 of the loop, files and listeners, discovery, notifications and their successors after
-# a change of address, the next file of the journal, one being accepted, and some that are being closed.
+# Descriptors that are not shared out: 17 for the event loop, files and listeners; the connections for discovery and
+# notifications, and those that replace them after a change of address; the next journal file; one connection being
+# accepted; and some that are being closed.
 RESERVED_DESCRIPTORS = 28
-# What the shares are of at the least, however few descriptors the process may have.
+# Lower bound on the number of shared sockets, however low the descriptor limit is.
 MIN_SHARED_SOCKETS = 4
-# How long a start waits for the list of an agent that pushes it: an agent that is silent so long has none.
+# How long the start waits for a pushed endpoint list: an agent that stays silent this long has none.
 FIRST_LIST_TIMEOUT_S = 0.4
 
 
 class Assembly:
-    """All parts of one sender."""
+    """The components of one sender process, and their lifecycle."""
 
     def __init__(
         self,
@@ -61,7 +63,17 @@
         clock: Clock,
         telemetry: Telemetry,
     ) -> None:
-        """Build the parts; nothing is opened but the journal.  Raises `ConfigError`."""
+        """Create the components; only the journal, and a capture that is switched on, are opened.
+
+        Args:
+            config: The settings that the platform gives.
+            operator_config: The operator's settings; `None` where there are none.
+            clock: Returns the time in milliseconds.
+            telemetry: Counts and logs.
+
+        Raises:
+            ConfigError: The settings cannot be used.
+        """
         self.config = _with_operator_admin_address(config, operator_config)
         self.operator_config = operator_config
         self.telemetry = telemetry
@@ -82,10 +94,11 @@
         self.frontend = self._build_frontend(int(shared_sockets * CLIENT_SOCKET_SHARE))
         self.operations = self._build_operations()
         self.admin_listener = self._build_admin_listener()
-        if self.fleet:  # after the operations, whose overrides the agreed configuration adds to
+        # After the operations: the replicated configuration is applied on top of their overrides.
+        if self.fleet:
             self.fleet.enforce_agreed_config(self.core)
 
-    # Parts ---------------------------------------------------------------------------------------
+    # Components ----------------------------------------------------------------------------------
 
     def _build_core(self) -> Core:
         dispatcher = Dispatcher(self.policy, self._clock, self.telemetry)
@@ -93,7 +106,7 @@
         endpoint_list = EndpointList()
         transport: Transport = HttpTransport(self.pool, self.telemetry)
         if any(kind.max_batch_size > 1 for kind in settings.kinds.values()):
-            from kestreltrack.endpoints.batch import BatchTransport  # not imported where it is not used
+            from kestreltrack.endpoints.batch import BatchTransport
 
             transport = BatchTransport(self.pool, self.telemetry)
             dispatcher.max_batch_size = _max_batch_size_by_endpoint(settings, endpoint_list)
@@ -102,7 +115,7 @@
         )
 
     def _build_fleet(self) -> Fleet | None:
-        """Build the membership of a fleet; it is not even imported where the sender has no address for it."""
+        """Create the fleet components if the operator's settings give this sender a fleet address."""
         if self.operator_config is None or not self.operator_config.config.fleet.listen:
             return None
         from kestreltrack.sender.fleet import Fleet
@@ -122,7 +135,7 @@
         return fleet
 
     def _build_recording(self) -> RecordingController | None:
-        """Build the recorder, and start it where the operator's settings say so."""
+        """Create the capture controller, and start the capture if the operator's settings switch it on."""
         if self.operator_config is None:
             return None
         settings = self.operator_config.config
@@ -164,7 +177,7 @@
         )
 
     def _build_operations(self) -> Operations | None:
-        """Build the operators' calls; a sender without an address for them does not even import them."""
+        """Create the handlers of operator calls if the settings have an address for them."""
         if not self.config.admin_address:
             return None
         from kestreltrack.sender.operations import Operations
@@ -184,9 +197,10 @@
     # Start ---------------------------------------------------------------------------------------
 
     async def open_admin(self) -> None:
-        """Listen for operators' calls and on the admin socket, where the settings ask for them.
+        """Open the HTTP listener for operator calls and the admin socket, each if it is configured.
 
-        Raises `ConfigError` where an address cannot be listened on.
+        Raises:
+            ConfigError: An address cannot be listened on.
         """
         if self.admin_listener:
             try:
@@ -203,16 +217,18 @@
                 raise ConfigError(f"admin.socket: {self.command_socket.path}: {error.strerror}") from error
 
     async def restore_endpoint_list(self) -> None:
-        """Notify the decision module of the last known endpoint list, and follow the source from now on.
+        """Pass the last known endpoint list to the decision module, and start to follow the source.
 
-        A pushed list is waited for a moment: what the agent has counts as received before the first attempt.
+        If lists are pushed, waits up to `FIRST_LIST_TIMEOUT_S` for the first one, so that a list that the agent
+        already has is applied before the first attempt.
         """
         self._apply_known_endpoints()
-        # A first step even where no list is known: the decision module requests a poll in it.
+        # Even without a known list the decision module has to run once: that is when it requests a poll.
         self.core.dispatcher.notify(TimerExpired(0))
         is_pushed = not self.config.settings.must_poll
         if is_pushed or uses_etcd(self.operator_config):
-            self.core.poll_now()  # the decision module requests polls only where the settings make it poll
+            # The decision module requests polls only if the settings make it poll.
+            self.core.poll_now()
         self._start_background_task(self.core.follow_source(self.discovery.source))
         if is_pushed:
             with suppress(TimeoutError):
@@ -222,20 +238,21 @@
         journaled = self.journal.endpoints
         known_updates = [self.config.initial_endpoints, journaled]
         if uses_etcd(self.operator_config) and journaled:
-            # Revisions of two sources do not compare: the journal has what this sender followed last.
+            # Revisions of different sources are not comparable; the journaled list is from the source that this
+            # sender followed last.
             known_updates = [journaled]
         for update in known_updates:
             if update and update.revision >= self.core.endpoint_list.revision:
                 self.core.dispatcher.notify(self.core.endpoint_list.apply(update, cached=True))
 
     def recover_messages(self) -> None:
-        """Resume the messages that the last process left."""
-        # Before the first attempt: the other process may have received a Retry-After long ago.
+        """Resume the messages that the previous process left outstanding."""
+        # Before the first attempt: the other process of an upgrade may have received a Retry-After long ago.
         self.core.retry_after.receive()
         self.core.recover()
 
     def start_background_tasks(self) -> None:
-        """Start what runs beside the delivery of messages."""
+        """Start the background tasks of all components."""
         self._start_background_task(self.pool.sweep_idle())
         takeover = Takeover(self.core, self.journal, self.telemetry)
         if self.journal.other_slots:
@@ -260,9 +277,10 @@
     # Service -------------------------------------------------------------------------------------
 
     def reload(self, config: SenderConfig, operator_config: LoadedOperatorConfig | None) -> None:
-        """Apply the settings that can change while the sender runs.
+        """Apply the settings that can change at run time.
 
-        Raises `ConfigError` before anything has changed.
+        Raises:
+            ConfigError: The settings cannot be used; nothing has changed.
         """
         address_changed = config.discovery != self.config.discovery
         involves_etcd = uses_etcd(self.operator_config) or uses_etcd(operator_config)
@@ -281,25 +299,25 @@
             self._start_discovery_tasks()
 
     def has_work_in_progress(self) -> bool:
-        """Return whether a client waits for an answer, a message is outstanding or an attempt is in flight."""
+        """Return whether a client request is open, a message is outstanding or an attempt is in flight."""
         return bool(self.frontend.has_open_requests() or self.journal.outstanding or not self.core.is_idle())
 
     # Stop ----------------------------------------------------------------------------------------
 
     def start_shutdown(self, deadline_ms: float) -> None:
-        """Notify the decision module of the end of all attempts, and leave the fleet."""
+        """Notify the decision module of the deadline for all attempts, and leave the fleet."""
         self.core.start_shutdown(deadline_ms)
         if self.fleet:
             self.fleet.close(self.journal.other_process_alive())
 
     async def close(self) -> None:
-        """Leave all messages as they are, and close the journal and all else that is open."""
+        """Abandon the outstanding messages, which stay in the journal, and close all components."""
         for task in (*self._background_tasks, *self._discovery_tasks):
             task.cancel()
         await self.core.abandon()
-        # Before all else that takes time: SIGKILL is near, and the next process waits for the slot.
+        # Before anything that takes time: SIGKILL may follow soon, and the next process waits for the journal slot.
         self.journal.close()
-        # The tasks of discovery remove this sender's registration when they are cancelled.
+        # When cancelled, the discovery tasks remove this sender's registration.
         await asyncio.gather(*self._discovery_tasks, return_exceptions=True)
         self.discovery.close()
         if self.recording:
@@ -313,7 +331,7 @@
 def _with_operator_admin_address(
     config: SenderConfig, operator_config: LoadedOperatorConfig | None
 ) -> SenderConfig:
-    """Return the settings with the operator's address for operators' calls where they have none of their own."""
+    """Return `config` with the operator's admin address filled in if it has none of its own."""
     if config.admin_address or operator_config is None or not operator_config.config.admin.addr:
         return config
     return replace(config, admin_address=operator_config.config.admin.addr)
@@ -324,14 +342,14 @@
         return Journal(config.state, config.disk_bytes, telemetry)
     except (JournalFullError, OSError) as error:
         raise ConfigError(
-            f"GW_STATE: {config.state}: {error}; it needs a folder of its own to write to"
+            f"GW_STATE: {config.state}: {error}; expected a writable folder that no other sender uses"
         ) from error
 
 
 def _shared_socket_count(configured_limit: int) -> int:
-    """Return the number of sockets that the shares divide.
+    """Return the number of sockets of which clients and endpoints each have a fraction.
 
-    It is the limit of the settings, or what the process's own limit of descriptors leaves beside the reserve.
+    This is `configured_limit`, unless the descriptor limit of the process, less `RESERVED_DESCRIPTORS`, allows fewer.
     """
     descriptor_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if descriptor_limit == resource.RLIM_INFINITY:
