--- a/kestreltrack/sender/discovery.py
+++ b/kestreltrack/sender/discovery.py
@@ -1,4 +1,4 @@
-"""The source of the endpoint list that the settings ask for, and the switch to another one at SIGHUP."""
+"""Creates the configured source of the endpoint list, and replaces it when a reload selects another one."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     from kestreltrack.discovery.etcd.source import EtcdEndpointSource
     from kestreltrack.fleet.membership.member_count import MemberCount
 
-# Settings of etcd that only say how to reach the cluster: with other values the source keeps its state.
+# Settings that only affect how the etcd cluster is reached: the source keeps its state when they change.
 CONNECTION_SETTINGS = ("members", "user", "password_file", "tls")
 
 
 def uses_etcd(operator_config: LoadedOperatorConfig | None) -> bool:
-    """Return whether the endpoint list comes from etcd."""
+    """Return whether the settings select etcd as the source of the endpoint list."""
     return operator_config is not None and operator_config.config.directory.source == "etcd"
 
 
 @dataclass(frozen=True, slots=True)
 class _SourceState:
-    """The settings in force, and the source that was built from them: one of the two."""
+    """The settings in force and the source created from them: either `http` or `etcd` is set."""
 
     config: SenderConfig
     operator_config: LoadedOperatorConfig | None
@@ -39,7 +39,14 @@
 
 
 class ServiceDiscovery:
-    """The source of the endpoint list, behind a switch.  What etcd needs is imported only where it is used."""
+    """Owns the source of the endpoint list.
+
+    The modules for etcd, and the libraries that they need, are imported only when etcd is the source.
+
+    Attributes:
+        source: The source to follow; it stays the same object when another source takes over.
+        on_seeds_found: Takes the addresses of other fleet members; `None` if this sender is in no fleet.
+    """
 
     def __init__(
         self,
@@ -48,7 +55,17 @@
         clock: Clock,
         telemetry: Telemetry,
     ) -> None:
-        """Build the source; raises `ConfigError`."""
+        """Create the source.
+
+        Args:
+            config: The settings that the platform gives.
+            operator_config: The operator's settings; `None` where there are none.
+            clock: Returns the time in milliseconds.
+            telemetry: Counts and logs.
+
+        Raises:
+            ConfigError: The settings of the source cannot be used.
+        """
         self._config = config
         self._operator_config = operator_config
         self._clock = clock
@@ -57,7 +74,6 @@
         self._etcd: EtcdEndpointSource | None = None
         self._client_fingerprint: object = None
         self._member_count: MemberCount | None = None
-        # Takes addresses of members of the fleet, where the sender is one.
         self.on_seeds_found: Callable[[list[str]], None] | None = None
         self.source = SwitchableSource(self._build_source())
 
@@ -77,16 +93,17 @@
         from kestreltrack.sender import etcd_factory
 
         assert self._operator_config is not None
-        self._client_fingerprint = etcd_factory.fingerprint(self._operator_config)
+        self._client_fingerprint = etcd_factory.client_fingerprint(self._operator_config)
         self._etcd = etcd_factory.create_source(self._operator_config, self._clock, self._telemetry)
         return self._etcd
 
     # Reload --------------------------------------------------------------------------------------
 
     def reload(self, config: SenderConfig, operator_config: LoadedOperatorConfig | None) -> None:
-        """Apply reloaded settings: change the address of the source, or switch to another source.
+        """Apply reloaded settings: update the source in place where possible, else switch to a new one.
 
-        Raises `ConfigError` before anything is changed.
+        Raises:
+            ConfigError: The settings of the source cannot be used; nothing has changed.
         """
         previous = self._state()
         self._config = config
@@ -124,7 +141,7 @@
             previous.etcd.close()
 
     def _same_keyspace(self, previous: LoadedOperatorConfig | None) -> bool:
-        """Return whether the settings of etcd differ at most in how to reach the cluster."""
+        """Return whether the etcd settings differ in nothing but `CONNECTION_SETTINGS`."""
         assert previous is not None
         assert self._operator_config is not None
         old = previous.config.directory.etcd
@@ -136,7 +153,7 @@
         from kestreltrack.sender import etcd_factory
 
         assert self._operator_config is not None
-        fingerprint = etcd_factory.fingerprint(self._operator_config)
+        fingerprint = etcd_factory.client_fingerprint(self._operator_config)
         if fingerprint != self._client_fingerprint:
             source.replace_client(etcd_factory.create_client(self._operator_config))
             self._client_fingerprint = fingerprint
@@ -144,9 +161,10 @@
     # Background tasks ----------------------------------------------------------------------------
 
     def background_tasks(self, set_sender_count: Callable[[int], None]) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs beside the sender where etcd is used.
+        """Return the background tasks to run; there are none unless etcd is the source.
 
-        It keeps the sender registered, follows the number of registered senders, and looks up their addresses.
+        They keep the sender registered, follow the number of registered senders, and look up the addresses of other
+        fleet members.
         """
         if not self._etcd:
             return []
@@ -174,11 +192,11 @@
         assert self._operator_config is not None
         configured_senders = self._config.settings.sender_count
         if self._operator_config.config.directory.etcd.follow_relays:
-            # The count outlives a reload: to start again from the configured number could be a jump.
+            # The count is kept across reloads: restarting from the configured number could make it jump.
             self._member_count = etcd_factory.create_member_count(
                 self._operator_config, configured_senders, self._member_count
             )
-            reader = etcd_factory.create_member_counter(
+            reader = etcd_factory.create_member_count_reader(
                 self._etcd,
                 self._operator_config,
                 self._member_count,
@@ -202,6 +220,6 @@
         await lookup.run()
 
     def close(self) -> None:
-        """Close the connections to etcd."""
+        """Close the connections to etcd, if there are any."""
         if self._etcd:
             self._etcd.close()
--- a/kestreltrack/sender/etcd_factory.py
+++ b/kestreltrack/sender/etcd_factory.py
@@ -1,4 +1,4 @@
-"""Builds the parts that talk to etcd from the operator's settings."""
+"""Creates the etcd client, and the components that use it, from the operator's settings."""
 
 from __future__ import annotations
 
@@ -22,14 +22,18 @@
 
 
 def cluster_settings(operator_config: LoadedOperatorConfig) -> ClusterSettings:
-    """Return the addresses of the cluster and the credentials for it."""
+    """Return the addresses of the etcd cluster and the credentials for it."""
     table = operator_config.config.directory.etcd
     tls = TlsSettings(table.tls.ca, table.tls.cert, table.tls.key, table.tls.name) if table.tls else None
     return ClusterSettings(table.members, tls, table.user, operator_config.password)
 
 
 def create_client(operator_config: LoadedOperatorConfig) -> EtcdClient:
-    """Return a client of the cluster; raises `ConfigError` where a file for TLS cannot be used."""
+    """Create a client of the etcd cluster.
+
+    Raises:
+        ConfigError: A TLS file cannot be used.
+    """
     try:
         return EtcdClient(cluster_settings(operator_config))
     except OSError as error:
@@ -38,7 +42,7 @@
 
 
 def watch_parameters(table: EtcdTable) -> WatchParameters:
-    """Return the intervals and limits of the watch."""
+    """Return the parameters of a watch."""
     return WatchParameters(
         member_count=len(table.members),
         page_size=table.page,
@@ -52,7 +56,11 @@
 def create_source(
     operator_config: LoadedOperatorConfig, clock: Clock, telemetry: Telemetry
 ) -> EtcdEndpointSource:
-    """Return the source of the endpoint list; raises `ConfigError` as `create_client` does."""
+    """Create the source of the endpoint list.
+
+    Raises:
+        ConfigError: A TLS file cannot be used.
+    """
     table = operator_config.config.directory.etcd
     stale_ms = tuple(1000.0 * age for age in table.stale_s)
     return EtcdEndpointSource(
@@ -63,7 +71,7 @@
 def create_registration(
     source: EtcdEndpointSource, operator_config: LoadedOperatorConfig, name: str, telemetry: Telemetry
 ) -> SenderRegistration:
-    """Return what keeps this sender registered under `name`."""
+    """Create the registration of this sender under `name`."""
     table = operator_config.config.directory.etcd
     return SenderRegistration(
         lambda: source.client,
@@ -84,7 +92,7 @@
     on_seeds_found: Callable[[list[str]], None],
     telemetry: Telemetry,
 ) -> SeedLookup:
-    """Return what reads the addresses of other members of the fleet from their registrations."""
+    """Create the lookup that reads the addresses of other fleet members from their registrations."""
     table = operator_config.config.directory.etcd
     return SeedLookup(
         lambda: source.client, table.prefix, on_seeds_found, telemetry, table.answer_ms / 1000.0
@@ -94,13 +102,13 @@
 def create_member_count(
     operator_config: LoadedOperatorConfig, configured_senders: int, previous: MemberCount | None
 ) -> MemberCount:
-    """Return the number of senders that share a limit: starts from the previous one, else as configured."""
+    """Create the count of senders that share a limit; it starts at the previous count, if any, else as configured."""
     table = operator_config.config.directory.etcd
     value = previous.value if previous else configured_senders
     return MemberCount(value, 1000.0 * table.relays_linger_s, 1000.0 * table.relays_step_s)
 
 
-def create_member_counter(
+def create_member_count_reader(
     source: EtcdEndpointSource,
     operator_config: LoadedOperatorConfig,
     member_count: MemberCount,
@@ -108,7 +116,7 @@
     clock: Clock,
     telemetry: Telemetry,
 ) -> MemberCountReader:
-    """Return what counts the registered senders and updates `member_count`."""
+    """Create the reader that counts the registered senders and updates `member_count`."""
     table = operator_config.config.directory.etcd
     timeout_s = table.answer_ms / 1000.0
     return MemberCountReader(
@@ -116,10 +124,10 @@
     )
 
 
-def fingerprint(operator_config: LoadedOperatorConfig) -> tuple[ClusterSettings, str]:
-    """Return a value that changes where a client has to be replaced.
+def client_fingerprint(operator_config: LoadedOperatorConfig) -> tuple[ClusterSettings, str]:
+    """Return a value that differs from an earlier one if the client has to be replaced.
 
-    It covers the addresses, the credentials and the content of the files for TLS.
+    It covers the addresses, the credentials and the contents of the TLS files.
     """
     cluster = cluster_settings(operator_config)
     digest = hashlib.sha256()
