--- a/kestreltrack/sender/fleet.py
+++ b/kestreltrack/sender/fleet.py
@@ -1,4 +1,7 @@
-"""What this sender does with others of its fleet, where the operator's settings give it an address for that."""
+"""Creates and runs the components by which this sender cooperates with the other senders of its fleet.
+
+They exist only if the operator's settings give this sender a fleet address.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +26,12 @@
     from kestreltrack.sender.delivery import Core
     from kestreltrack.sender.quota_sharing import QuotaSharing
 
-# Between counts of the members.
+# Interval between counts of the members.
 COUNT_INTERVAL_S = 1.0
 
 
 class Fleet:
-    """Membership, and the parts that depend on it."""
+    """The membership of this sender, and the components that depend on it."""
 
     def __init__(
         self,
@@ -42,13 +45,24 @@
         telemetry: Telemetry,
         state_dir: Path,
     ) -> None:
-        """Build the parts that the settings ask for; nothing is opened.
-
-        `set_sender_count` takes the number of senders that share a limit, where that follows the members; `notify`
-        takes events for the decision module.  Raises `ConfigError`.
+        """Create the components that the settings enable; nothing is opened.
+
+        Args:
+            table: The operator's settings for the fleet.
+            name: The name of this sender.
+            configured_senders: The initial number of senders that share a limit.
+            set_sender_count: Takes that number whenever it changes, if it follows the members.
+            policy: The state of the decision module, for reading.
+            notify: Takes events for the decision module.
+            clock: Returns the time in milliseconds.
+            telemetry: Counts and logs.
+            state_dir: The state folder of this sender.
+
+        Raises:
+            ConfigError: The sender has no name, or its lease settings cannot be used.
         """
         if not name:
-            raise ConfigError("fleet.listen: a member of a fleet needs a name (GW_NAME)")
+            raise ConfigError("fleet.listen: a fleet member needs a name: set GW_NAME")
         self.table = table
         self._configured_senders = configured_senders
         self._set_sender_count = set_sender_count
@@ -61,7 +75,7 @@
         self.agreed_config = self._build_agreed_config(state_dir)
 
     def _build_quota_sharing(self, policy: Policy, notify: Callable[[Event], None]) -> QuotaSharing | None:
-        """Build the sharing of quotas; it is not even imported where the settings do not ask for it."""
+        """Create the quota sharing if the settings enable it; else its module is not imported."""
         if not self.table.lend:
             return None
         from kestreltrack.sender.quota_sharing import QuotaSharing
@@ -69,7 +83,7 @@
         return QuotaSharing(self.membership, policy, notify, self._clock, self._telemetry)
 
     def _build_agreed_config(self, state_dir: Path) -> AgreedConfigEnforcer | None:
-        """Build the agreed configuration; it is not even imported where the settings name no voters."""
+        """Create the replicated configuration if the settings name voters; else its module is not imported."""
         if not self.table.agreed.voters:
             return None
         from kestreltrack.sender.agreed_config import AgreedConfigEnforcer
@@ -87,12 +101,12 @@
             raise ConfigError(f"fleet.agreed.lease_ms: {error}") from error
 
     def enforce_agreed_config(self, core: Core) -> None:
-        """Have `core` act on the agreed documents, where the settings ask for them."""
+        """Apply the replicated configuration to `core`, if it is enabled."""
         if self.agreed_config:
             self.agreed_config.enforce(core)
 
     def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs beside the delivery of messages."""
+        """Return the background tasks to run."""
         coroutines: list[Coroutine[Any, Any, None]] = [self.membership.run()]
         if self.table.follow_relays:
             coroutines.append(self._follow_member_count())
@@ -103,7 +117,7 @@
         return coroutines
 
     async def _follow_member_count(self) -> None:
-        """Divide limits by the number of present members, smoothed as `MemberCount` says."""
+        """Keep the number of senders that share a limit equal to the member count, smoothed by `MemberCount`."""
         table = self.table
         member_count = MemberCount(
             self._configured_senders, table.relays_linger_s * 1000.0, table.relays_step_s * 1000.0
@@ -120,7 +134,7 @@
             await asyncio.sleep(COUNT_INTERVAL_S)
 
     def commands(self) -> dict[str, Callable[..., dict[str, Any]]]:
-        """Return the commands of the admin socket by their names."""
+        """Return the handlers of the fleet's admin socket commands by command name."""
         commands: dict[str, Callable[..., dict[str, Any]]] = {"fleet.members": self.membership.status}
         if self.agreed_config:
             commands["fleet.agreed.show"] = self.agreed_config.replicated_config.status
@@ -128,7 +142,7 @@
         return commands
 
     def metrics(self) -> list[str]:
-        """Return the gauges for the operators' metrics, one a line."""
+        """Return the fleet's gauges as lines of the operators' metrics."""
         gauges = dict(self.membership.gauges())
         if self.quota_sharing:
             gauges |= self.quota_sharing.gauges()
@@ -137,7 +151,11 @@
         return [f"app.fleet.{name}:{value}|g" for name, value in gauges.items()]
 
     def close(self, has_successor: bool) -> None:
-        """Leave the fleet; with no announcement where another process of this sender takes its place."""
+        """Leave the fleet.
+
+        Args:
+            has_successor: Whether another process of this sender takes its place; the leave is then not announced.
+        """
         if self.quota_sharing:
             self.quota_sharing.close()
         if self.agreed_config:
