--- a/kestreltrack/sender/health_view.py
+++ b/kestreltrack/sender/health_view.py
@@ -1,4 +1,4 @@
-"""What the parts of the fleet see of the decision module: the health of destinations.  Reads only."""
+"""Read-only view of the decision module's state for the fleet components: the health of destinations."""
 
 from __future__ import annotations
 
@@ -9,15 +9,19 @@
 from kestreltrack.decision.rate_limit import SLOW_START_RATE_MARGIN
 from kestreltrack.fleet.outage_probing.participant import DestinationHealth
 
-# Share of recent calls that failed, rejections aside, from which on a destination counts as down: four failures in a
-# row make so much.  A destination that rejects calls is at its limit, which is no outage: the fleet must not stop.
+# Fraction of recent calls that failed, from which on a destination counts as down; four failures in a row reach it.
+# Rejections do not count: a destination that rejects calls is at its limit, which is no outage, and must not make the
+# fleet stop calling it.
 OUTAGE_FAILURE_RATE = 0.4
 
 
 def destination_health(policy: Policy, now: float, dest_number: int) -> DestinationHealth | None:
-    """Return the health of one destination; `None` where it is unknown, or its routes fail independently.
+    """Return the health of one destination; `None` if it is unknown or its endpoints fail independently.
 
-    `now` and the times of the result are in milliseconds on the clock of the decision module.
+    Args:
+        policy: The decision module.
+        now: The time in milliseconds on the clock of the decision module, which the result also uses.
+        dest_number: The destination.
     """
     destination = policy.destinations.get(dest_number)
     limits = destination.limits if destination else None
@@ -50,9 +54,10 @@
 
 
 def unhealthy_destinations(policy: Policy, now: float, probed: Container[int]) -> list[DestinationHealth]:
-    """Return the health of the destinations with queued messages or calls in flight that need the fleet's care.
+    """Return the health of the destinations that need coordination with the other senders of the fleet.
 
-    These are down, in slow start, under a Retry-After, or among those already `probed`.
+    These have queued messages or calls in flight, and are down, in slow start, under a retry-after, or already in
+    `probed`.
     """
     candidates = (destination_health(policy, now, number) for number in policy.active_destinations)
     return [
