--- a/kestreltrack/sender/operations.py
+++ b/kestreltrack/sender/operations.py
@@ -1,7 +1,7 @@
-"""What the operators' calls do to a running sender, and the metrics they read.
+"""Implements the operator calls of `admin.http_api` on a running sender.
 
-The set of excluded endpoints is persisted in `$GW_STATE/excluded`, replaced atomically, and read again when another
-process of this sender changes it: both processes of an upgrade have the same set.
+The set of excluded endpoints is persisted in `$GW_STATE/excluded`.  The file is replaced atomically, and reloaded
+when another process of this sender has changed it, so that both processes of an upgrade have the same set.
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
 from kestreltrack.sender.message_lifecycle import MessageResult
 from kestreltrack.telemetry import Telemetry
 
-# Between checks whether the other process has changed the persisted set: a drain has to take effect within 500 ms.
+# Interval between checks whether the other process has changed the persisted set; a drain has to take effect within
+# 500 ms.
 RELOAD_INTERVAL_S = 0.25
-# Blocking rules of the decision module by which it avoids an endpoint of its own accord.
+# Results of `blocking_rule` that mean that the decision module has taken an endpoint out of service.
 EJECTION_REASONS = ("told wait", "circuit open")
-# Results by class that the metrics list.
+# Message results that the metrics count for each class.
 RESULT_NAMES = tuple(result.value for result in MessageResult)
 
 
@@ -38,9 +39,15 @@
         telemetry: Telemetry,
         extra_metrics: Callable[[], list[str]] = list,
     ) -> None:
-        """Read the set that an earlier process persisted; it applies to the endpoint list from the first update on.
-
-        `extra_metrics` returns further lines for `metrics`.
+        """Load the persisted set of excluded endpoints, and apply it to every update of the endpoint list.
+
+        Args:
+            core: Delivers the messages.
+            frontend: Serves the clients.
+            policy: The state of the decision module, for reading.
+            state_dir: The folder of the persisted set.
+            telemetry: Counts and logs.
+            extra_metrics: Returns additional lines for `metrics`.
         """
         self._extra_metrics = extra_metrics
         self.core = core
@@ -54,11 +61,11 @@
         self._reload_exclusions()
 
     def ready(self) -> bool:
-        """Return whether this process accepts clients now."""
+        """Return whether this process accepts clients."""
         return self.frontend.accepts_clients()
 
     def metrics(self) -> str:
-        """Return the counters since this process began and the present gauges, one a line."""
+        """Return the counters since the start of this process and the current gauges, one per line."""
         counters = self.telemetry.counters
         lines = [
             f"app.results.{class_name}.{result}:{counters[f'app.results.{class_name}.{result}']}|c"
@@ -72,7 +79,7 @@
         return "\n".join(lines + self._extra_metrics()) + "\n"
 
     def _ejected_count(self) -> int:
-        """Return the number of listed endpoints that the decision module or an operator keeps out of service."""
+        """Return the number of listed endpoints that the decision module or an operator has taken out of service."""
         now_ms = self.core.dispatcher.clock()
         avoided = {
             uid
@@ -86,7 +93,11 @@
         return len((avoided | self.exclusions.excluded) & self.core.endpoint_list.uids())
 
     def exclude(self, uid: str) -> None:
-        """Send nothing more to `uid` from the next decision on; raises `KeyError` for an id never listed."""
+        """Stop sending to endpoint `uid`, effective with the next decision.
+
+        Raises:
+            KeyError: The endpoint was never listed.
+        """
         update = self.exclusions.exclude(uid)
         self._persist_exclusions()
         if update:
@@ -95,7 +106,11 @@
         self.telemetry.log("excluded", endpoint=uid)
 
     def include(self, uid: str) -> None:
-        """Let `uid` serve again; raises `KeyError` for an id never listed."""
+        """Allow endpoint `uid` to be used again.
+
+        Raises:
+            KeyError: The endpoint was never listed.
+        """
         update = self.exclusions.include(uid)
         self._persist_exclusions()
         if update:
@@ -103,7 +118,7 @@
         self.telemetry.log("included", endpoint=uid)
 
     def evacuate(self) -> None:
-        """Send clients away, and answer their PING with an error; queued messages are still delivered."""
+        """Stop accepting clients, and answer PING with an error; queued messages are still delivered."""
         self.frontend.evacuate(True)
         self.telemetry.log("evacuated", held=len(self.core.journal.outstanding))
 
@@ -113,7 +128,7 @@
         self.telemetry.log("rejoined")
 
     async def follow_exclusions(self) -> None:
-        """Follow the persisted set, which the other process of an upgrade may change."""
+        """Reload the persisted set whenever the other process of an upgrade has changed it, until cancelled."""
         while True:
             await asyncio.sleep(RELOAD_INTERVAL_S)
             self._reload_exclusions()
@@ -124,13 +139,14 @@
         except OSError as error:
             self.telemetry.record_fault("admin.exclusions_unreadable", error=str(error))
             return
-        if data is None:  # unchanged
+        # `None`: the file has not changed.
+        if data is None:
             return
         for update in self.exclusions.load(data):
             self.core.dispatcher.notify(update)
 
     def _persist_exclusions(self) -> None:
-        """Replace the file atomically: a reader never sees half of the set."""
+        """Replace the file atomically, so that no reader sees a partial set."""
         try:
             self._file_versions[self.path] = write_atomically(self.path, self.exclusions.dump())
         except OSError as error:
