--- a/kestreltrack/sender/recording.py
+++ b/kestreltrack/sender/recording.py
@@ -1,4 +1,4 @@
-"""Control of one sender's capture.  Imported only where the operator's settings ask for it."""
+"""Starts and stops the capture of a running sender; imported only if the operator's settings enable it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,11 @@
 from kestreltrack.sender.dispatcher import Dispatcher
 from kestreltrack.telemetry import Telemetry
 
-# The settings give sizes in MB.
 BYTES_PER_MB = 1e6
 
 
 class RecordingController:
-    """Puts a recorder between the dispatcher and the decision module, and removes it again."""
+    """Inserts a recorder between the dispatcher and the decision module, and removes it again."""
 
     def __init__(
         self,
@@ -30,10 +29,18 @@
         config: SenderConfig,
         telemetry: Telemetry,
     ) -> None:
-        """Record nothing yet.
-
-        Raises `ConfigError` where the file of the key cannot be used, or the folder lies in the one whose size the
-        platform limits.
+        """Prepare a capture without starting it.
+
+        Args:
+            dispatcher: The dispatcher whose calls of the decision module are recorded.
+            policy: The decision module.
+            table: The operator's settings for captures.
+            config: The settings that the platform gives.
+            telemetry: Counts and logs.
+
+        Raises:
+            ConfigError: The key file cannot be used, or the capture folder is inside the state folder, whose size the
+                platform limits.
         """
         self._dispatcher = dispatcher
         self._policy = policy
@@ -44,10 +51,10 @@
         self._pseudonyms = _read_pseudonyms(table.key_file)
         folder = Path(table.folder).resolve()
         if table.folder and folder.is_relative_to(config.state.resolve()):
-            raise ConfigError(f"capture.folder: {folder} lies in GW_STATE, which the platform limits")
+            raise ConfigError(f"capture.folder: {folder} is inside GW_STATE, whose size the platform limits")
 
     def commands(self) -> dict[str, Any]:
-        """Return the commands of the admin socket by their names."""
+        """Return the handlers of the admin socket commands by command name."""
         return {
             "capture.start": self.start,
             "capture.stop": self.stop,
@@ -56,9 +63,12 @@
         }
 
     def start(self) -> dict[str, Any]:
-        """Start recording, with the state of the decision module at the next decision, and return the status.
+        """Start recording, unless it has started, and return the status.
+
+        The capture begins with the state of the decision module at its next event or decision.
 
-        Raises `CommandRejectedError` where the settings name no folder.
+        Raises:
+            CommandRejectedError: The settings name no folder.
         """
         if not self._table.folder:
             raise CommandRejectedError("capture.folder is not set")
@@ -85,7 +95,7 @@
         )
 
     def stop(self) -> dict[str, Any]:
-        """Stop recording, write what is left, and return the status."""
+        """Stop recording, write the remaining records, and return the status."""
         if self._recorder is not None:
             recorder = self._recorder
             self._recorder = None
@@ -96,15 +106,16 @@
     def start_new_file(self) -> dict[str, Any]:
         """Start a new file at the next decision, and return the status.
 
-        Raises `CommandRejectedError` where nothing is recorded.
+        Raises:
+            CommandRejectedError: No capture is running.
         """
         if self._recorder is None:
-            raise CommandRejectedError("there is no capture")
+            raise CommandRejectedError("no capture is running")
         self._recorder.start_new_file()
         return self.status()
 
     def status(self) -> dict[str, Any]:
-        """Return what is recorded, where, and how much."""
+        """Return whether a capture is running, its folder, and its counts and sizes."""
         folder = Path(self._table.folder) if self._table.folder else None
         sizes = [file.stat().st_size for file in folder.glob("capture-*.ktc")] if folder else []
         counters = self._telemetry.counters
@@ -121,7 +132,7 @@
         }
 
     def mark(self, label: str) -> None:
-        """Record an event that the decision module does not see."""
+        """Record an event that is not visible to the decision module."""
         if self._recorder is not None:
             self._recorder.mark(self._dispatcher.clock(), label)
 
