--- a/tests/processes.py
+++ b/tests/processes.py
@@ -21,7 +21,7 @@
     "test_etcd_scenarios": "a sender and etcd's stand-in",
     "test_extras": "commands that lack a library",
     "test_pins": "imports, and the compiler of messages",
-    "test_process_signals::test_a_signal_in_the_last_moments_of_a_stop_changes_nothing": "a sender that ends",
+    "test_process_signals::test_sigusr1_or_sighup_during_the_exit_leaves_the_exit_code_0": "a sender that ends",
     "test_scarce": "a sender that is short of descriptors",
     "test_scenarios": "a sender among partners; each step waits for what it expects",
     "test_scenarios_discovery": "a sender and the source of its endpoint list",
--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -1,4 +1,4 @@
-"""SIGTERM and SIGHUP during a start or a stop, invalid settings at a reload, and faults that end a start."""
+"""Signals during a start, a shutdown or the exit, reloads of invalid settings, and failures of a start."""
 
 from __future__ import annotations
 
@@ -24,62 +24,63 @@
 from kestreltrack.testing.harness.sender_process import SenderProcess
 
 
-def environment(folder: Path, **more: Any) -> dict[str, str]:
+def environment(folder: Path, **platform_settings: Any) -> dict[str, str]:
     (folder / "state").mkdir(exist_ok=True)
-    table = {"settings": FILE_SETTINGS, **more}
+    table = {"settings": FILE_SETTINGS, **platform_settings}
     (folder / "config.json").write_text(json.dumps(table))
     env = {"GW_CONFIG": str(folder / "config.json"), "GW_STATE": str(folder / "state")}
     return env | {"GW_LISTEN": "127.0.0.1:0", "GW_DISCOVERY": "127.0.0.1:1"}
 
 
-def events(text: str) -> list[str]:
+def logged_events(text: str) -> list[str]:
     return [json.loads(line)["event"] for line in text.splitlines() if line.startswith("{")]
 
 
 @pytest.mark.parametrize("step", ["restore_endpoint_list", "open_admin", "recover_messages"])
-def test_sigterm_during_a_start_ends_it_in_time_and_keeps_all_messages(
+def test_sigterm_during_a_start_stops_the_sender_in_time_and_keeps_all_messages(
     tmp_path: Path, step: str, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     env = environment(tmp_path)
-    before = opened(tmp_path / "state")
-    before.record_accepted(Message("m1", "unsafe", 1, 9e15, b"x"))
-    before.close()
-    original = getattr(Assembly, step)
+    previous_journal = opened(tmp_path / "state")
+    previous_journal.record_accepted(Message("m1", "unsafe", 1, 9e15, b"x"))
+    previous_journal.close()
+    original_step = getattr(Assembly, step)
     shutdown_delays_ms = list[float]()
     monkeypatch.setattr(daemon, "CLIENT_GRACE_S", 0.01)
     monkeypatch.setattr(daemon, "SHUTDOWN_TIMEOUT_S", 0.2)
-    start_shutdown = Assembly.start_shutdown
+    original_start_shutdown = Assembly.start_shutdown
 
     def record_shutdown(self: Assembly, deadline_ms: float) -> None:
         shutdown_delays_ms.append(deadline_ms - self.core.dispatcher.clock())
-        start_shutdown(self, deadline_ms)
+        original_start_shutdown(self, deadline_ms)
 
     monkeypatch.setattr(Assembly, "start_shutdown", record_shutdown)
 
-    def with_signals(self: Assembly) -> Any:
+    def send_signals_and_run_step(self: Assembly) -> Any:
         os.kill(os.getpid(), signal.SIGTERM)
-        os.kill(os.getpid(), signal.SIGHUP)  # a stop waits for no reload
+        # The shutdown must not wait for this reload.
+        os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
-        return slow(self) if step != "recover_messages" else original(self)
+        return run_step_slowly(self) if step != "recover_messages" else original_step(self)
 
-    async def slow(self: Assembly) -> None:
-        await original(self)
+    async def run_step_slowly(self: Assembly) -> None:
+        await original_step(self)
         await asyncio.sleep(0.1)
 
-    monkeypatch.setattr(Assembly, step, with_signals)
+    monkeypatch.setattr(Assembly, step, send_signals_and_run_step)
     asyncio.run(asyncio.wait_for(daemon.serve(env), 20.0))
-    seen = events(capfd.readouterr().err)
-    assert "stopped" in seen and ("ready" in seen) == (step != "restore_endpoint_list")
-    assert not [event for event in seen if "fault" in event]
+    logged = logged_events(capfd.readouterr().err)
+    assert "stopped" in logged and ("ready" in logged) == (step != "restore_endpoint_list")
+    assert not [event for event in logged if "fault" in event]
     if step == "open_admin":
         assert shutdown_delays_ms[0] <= 100.0 + 1.0, (
-            "the time counts from the signal, not from the end of the start"
+            "the shutdown timeout counts from the signal, not from the end of the start"
         )
     assert list(opened(tmp_path / "state").outstanding) == ["m1"]
 
 
-def test_address_in_use_ends_the_start_before_any_attempt(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_address_in_use_fails_the_start_before_any_attempt(tmp_path: Path) -> None:
+    async def start_on_a_used_address() -> None:
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         recovered = list[object]()
@@ -90,10 +91,10 @@
         assert not recovered
         server.close()
 
-    play(story())
+    play(start_on_a_used_address())
 
 
-def test_error_names_a_state_folder_that_cannot_be_written(tmp_path: Path) -> None:
+def test_the_error_names_the_file_of_the_state_folder_that_cannot_be_written(tmp_path: Path) -> None:
     env = environment(tmp_path)
     (tmp_path / "state" / "journal.lock").mkdir()
     with pytest.raises(ConfigError, match=r"GW_STATE: .*journal\.lock"):
@@ -103,56 +104,69 @@
 def test_reload_of_invalid_settings_changes_nothing_and_a_later_reload_works(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    good = environment(tmp_path, discovery="127.0.0.1:2")
-    path, text = Path(good["GW_CONFIG"]), Path(good["GW_CONFIG"]).read_text()
-    invalid_texts = ["", "[]", "{", text[: len(text) // 2], text.replace('"tryLimit": 8', '"tryLimit": -1')]
+    sender_env = environment(tmp_path, discovery="127.0.0.1:2")
+    path = Path(sender_env["GW_CONFIG"])
+    valid_text = path.read_text()
+    invalid_texts = [
+        "",
+        "[]",
+        "{",
+        valid_text[: len(valid_text) // 2],
+        valid_text.replace('"tryLimit": 8', '"tryLimit": -1'),
+    ]
+    invalid_texts += [
+        valid_text.replace('"tryLimit": 8', member)
+        for member in ('"tryLimit": NaN', '"tryLimit": "x"', '"x": 0')
+    ]
     invalid_texts += [
-        text.replace('"tryLimit": 8', word) for word in ('"tryLimit": NaN', '"tryLimit": "x"', '"x": 0')
+        valid_text.replace('"kinds": ["plain"]', member) for member in ('"kinds": 7', '"kinds": [[]]')
     ]
-    invalid_texts += [text.replace('"kinds": ["plain"]', word) for word in ('"kinds": 7', '"kinds": [[]]')]
     assert len(set(invalid_texts)) == len(invalid_texts)
 
-    async def story() -> None:
+    async def reload_invalid_then_valid_settings() -> None:
         addresses = list[str]()
         telemetry = Telemetry()
-        hangup = asyncio.Event()
+        reload_requested = asyncio.Event()
 
         class FakeAssembly:
-            config = load_sender_config(good)
+            config = load_sender_config(sender_env)
 
             def reload(self, config: Any, operator_config: Any) -> None:
                 addresses.append(config.discovery)
 
         assembly: Any = FakeAssembly()
         assembly.telemetry = telemetry
-        task = asyncio.create_task(daemon._reload_on_hangup(hangup, good, {}, assembly))
-        for n, bad in enumerate(invalid_texts, 1):
-            path.write_text(bad)
-            hangup.set()
+        task = asyncio.create_task(daemon._reload_on_sighup(reload_requested, sender_env, {}, assembly))
+        for n, invalid_text in enumerate(invalid_texts, 1):
+            path.write_text(invalid_text)
+            reload_requested.set()
             await until(lambda n=n: telemetry.counters["config.reload_rejected"] == n)  # type: ignore[misc]
-        path.write_text(text)
+        path.write_text(valid_text)
         with monkeypatch.context() as patch:
-            patch.setattr(daemon, "load_sender_config", lambda env, reload: 1 / 0)  # a fault of the program
-            hangup.set()
+            # A bug in the reload itself.
+            patch.setattr(daemon, "load_sender_config", lambda env, reload: 1 / 0)
+            reload_requested.set()
             await until(lambda: telemetry.counters["config.reload_fault"])
         assert not addresses
-        hangup.set()
+        reload_requested.set()
         await until(lambda: addresses)
         assert addresses == ["127.0.0.1:2"]
         task.cancel()
 
-    play(story())
+    play(reload_invalid_then_valid_settings())
 
 
-@pytest.mark.parametrize("late", [signal.SIGUSR1, signal.SIGHUP], ids=["SIGUSR1", "SIGHUP"])
-def test_a_signal_in_the_last_moments_of_a_stop_changes_nothing(tmp_path: Path, late: signal.Signals) -> None:
-    """A process that is told to end exits with 0, also where it gets SIGUSR1 or SIGHUP while it does.
+@pytest.mark.parametrize("late_signal", [signal.SIGUSR1, signal.SIGHUP], ids=["SIGUSR1", "SIGHUP"])
+def test_sigusr1_or_sighup_during_the_exit_leaves_the_exit_code_0(
+    tmp_path: Path, late_signal: signal.Signals
+) -> None:
+    """A process that is stopped exits with 0, even if SIGUSR1 or SIGHUP arrives while it exits.
 
-    The event loop gave both their default action as it closed, so that one that came before the exit ended the
-    process as a crash would.  The soak found it: seed 47 of 6 s, SIGUSR1 behind SIGTERM, exit code -10.
+    The event loop restores the default action of its signals when it closes.  A signal between that and the exit
+    would end the process like a crash, with exit code -10 for SIGUSR1.
     """
 
-    async def story() -> None:
+    async def send_signals_until_the_exit() -> None:
         platform = FakePlatform()
         await platform.listen()
         sender = SenderProcess(tmp_path, "s1")
@@ -160,9 +174,9 @@
         assert sender.process
         await sender.signal(signal.SIGTERM)
         while sender.process.returncode is None:
-            await sender.signal(late)
+            await sender.signal(late_signal)
             await asyncio.sleep(0.001)
         assert sender.process.returncode == 0
         platform.close()
 
-    asyncio.run(asyncio.wait_for(story(), 60.0))
+    asyncio.run(asyncio.wait_for(send_signals_until_the_exit(), 60.0))
