--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The tables of tests that start processes: they name what is there, and a run in parts is all of it."""
+"""The tables in `processes.py`: their entries exist, and the runs selected by marker cover all tests together."""
 
 from __future__ import annotations
 
@@ -9,31 +9,33 @@
 
 pytest_plugins = ["pytester"]
 TESTS = Path(__file__).parent
-GREEN = "def test_a(): pass\n"
+PASSING_TEST = "def test_a(): pass\n"
 
 
 @pytest.mark.parametrize("mark", processes.TABLES)
-def test_a_table_names_what_is_there_and_says_why(mark: str) -> None:
+def test_each_entry_names_an_existing_test_and_has_a_reason(mark: str) -> None:
     texts = {path.stem: path.read_text(encoding="utf-8") for path in TESTS.rglob("test_*.py")}
     for name, why in processes.TABLES[mark].items():
         file, _, test = name.partition("::")
-        assert file in texts, f"renamed or gone: {file}"
-        assert not test or f"def {test}(" in texts[file], f"renamed or gone: {name}"
+        assert file in texts, f"renamed or removed: {file}"
+        assert not test or f"def {test}(" in texts[file], f"renamed or removed: {name}"
         assert why
 
 
-def test_no_file_stands_in_both_tables() -> None:
+def test_no_file_is_in_both_tables() -> None:
     first, second = ({name.partition("::")[0] for name in table} for table in processes.TABLES.values())
     assert not first & second
 
 
-def test_the_tables_hold_in_this_run(request: pytest.FixtureRequest, pytestconfig: pytest.Config) -> None:
+def test_the_tables_are_applied_to_this_run(
+    request: pytest.FixtureRequest, pytestconfig: pytest.Config
+) -> None:
     assert pytestconfig.pluginmanager.has_plugin("marks-by-table")
     assert not any(request.node.get_closest_marker(mark) for mark in processes.TABLES)
 
 
 @pytest.mark.parametrize("workers", [(), ("-p", "xdist.plugin", "-n", "2")], ids=["alone", "workers"])
-def test_the_parts_of_a_run_are_all_of_it(
+def test_the_runs_selected_by_marker_cover_all_tests(
     pytester: pytest.Pytester, monkeypatch: pytest.MonkeyPatch, workers: tuple[str, ...]
 ) -> None:
     monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")
@@ -44,8 +46,10 @@
     pytester.makepyfile(
         **{file: f"import pytest\n@pytest.mark.parametrize('n', [1, 2])\ndef {test}(n): pass\n"}
     )
-    listed = {next(name for name in table if "::" not in name): GREEN for table in processes.TABLES.values()}
-    pytester.makepyfile(**listed, test_free="def test_b(): pass\ndef test_c(): pass\n")
+    listed_files = {
+        next(name for name in table if "::" not in name): PASSING_TEST for table in processes.TABLES.values()
+    }
+    pytester.makepyfile(**listed_files, test_unlisted="def test_b(): pass\ndef test_c(): pass\n")
 
     def passed(*args: str) -> int:
         outcomes = pytester.runpytest_subprocess("--strict-markers", *workers, *args).parseoutcomes()
