--- a/tests/test_guards.py
+++ b/tests/test_source_constraints.py
@@ -1,4 +1,4 @@
-"""Guards on the module itself: its layout, its imports and its independence of any deployment."""
+"""Constraints on the source: layout, imports, import cycles, and decisions that are independent of deployments."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "kestreltrack" / "decision"
-DECIDING = [
+POLICY_FILES = [
     ROOT / name
     for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
 ]
 INTERFACE = ("actions", "events", "outcomes", "settings")
-# What stands beside the decisions: records, their bookkeeping and textbook arithmetic.
-WITHOUT_A_CHOICE = {
+# Modules of the decision package that make no decisions: records, their bookkeeping and arithmetic.
+MODULES_WITHOUT_DECISIONS = {
     "__init__",
     "arithmetic",
     "endpoint_setup",
@@ -27,26 +27,26 @@
     "state",
     *INTERFACE,
 }
-NAMES = """kigali kowhai poa entrega retrofit order-update stock-level order-change status-notice deposit
+DEPLOYMENT_NAMES = """kigali kowhai poa entrega retrofit order-update stock-level order-change status-notice deposit
 payment aviso cobranca grande pequeno member joinery installer wing umucyo ikaze isoko akeza nyota prato
 cesta horta tempero mesa"""
-TEXTS = {file: file.read_text(encoding="utf-8") for file in DECIDING}
+SOURCES = {file: file.read_text(encoding="utf-8") for file in POLICY_FILES}
 
 
-def test_no_line_is_wider_than_the_layout() -> None:
-    lines = [line for text in TEXTS.values() for line in text.splitlines()]
+def test_no_line_of_a_policy_file_is_wider_than_110_characters() -> None:
+    lines = [line for text in SOURCES.values() for line in text.splitlines()]
     assert max(map(len, lines)) <= 110
 
 
-def test_each_module_of_the_package_decides_or_is_known_not_to() -> None:
-    assert PACKAGE / "policy.py" in DECIDING
-    deciding = {file.stem for file in DECIDING if file.parent == PACKAGE}
-    assert len(deciding) == len(DECIDING) and deciding.isdisjoint(WITHOUT_A_CHOICE)
-    assert deciding | WITHOUT_A_CHOICE == {file.stem for file in PACKAGE.glob("*.py")}
+def test_each_decision_module_is_a_policy_file_or_listed_as_without_decisions() -> None:
+    assert PACKAGE / "policy.py" in POLICY_FILES
+    deciding = {file.stem for file in POLICY_FILES if file.parent == PACKAGE}
+    assert len(deciding) == len(POLICY_FILES) and deciding.isdisjoint(MODULES_WITHOUT_DECISIONS)
+    assert deciding | MODULES_WITHOUT_DECISIONS == {file.stem for file in PACKAGE.glob("*.py")}
 
 
-@pytest.mark.parametrize("name", sorted(WITHOUT_A_CHOICE - {"__init__", *INTERFACE}))
-def test_no_threshold_stands_beside_the_decisions(name: str) -> None:
+@pytest.mark.parametrize("name", sorted(MODULES_WITHOUT_DECISIONS - {"__init__", *INTERFACE}))
+def test_modules_without_decisions_have_no_thresholds(name: str) -> None:
     tree = ast.parse((PACKAGE / f"{name}.py").read_text(encoding="utf-8"))
     constants = {
         target.id
@@ -63,38 +63,40 @@
         for constant in ast.walk(node)
         if isinstance(constant, ast.Constant) and isinstance(constant.value, int | float)
     ]
-    # 2 and 16: when the key queues that are idle are forgotten, which changes no decision.
+    # 2 and 16 set when idle key queues are removed, which affects no decision.
     assert set(compared) <= {0, 2, 16}
 
 
-@pytest.mark.parametrize("file", DECIDING, ids=lambda file: file.stem)
-def test_imports_are_the_standard_library_and_the_package_itself(file: Path) -> None:
+@pytest.mark.parametrize("file", POLICY_FILES, ids=lambda file: file.stem)
+def test_policy_files_import_only_the_standard_library_and_the_decision_package(file: Path) -> None:
     names = set()
-    for node in ast.walk(ast.parse(TEXTS[file])):
+    for node in ast.walk(ast.parse(SOURCES[file])):
         if isinstance(node, ast.ImportFrom):
             package = node.module == "kestreltrack.decision"
             found = {f"{node.module}.{alias.name}" for alias in node.names} if package else {str(node.module)}
             names |= found
         elif isinstance(node, ast.Import):
             names |= {alias.name for alias in node.names}
-    ours = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names}
-    assert ours <= {f"kestreltrack.decision.{other.stem}" for other in PACKAGE.glob("*.py")}
+    outside_standard_library = {n for n in names if n.split(".")[0] not in sys.stdlib_module_names}
+    assert outside_standard_library <= {
+        f"kestreltrack.decision.{other.stem}" for other in PACKAGE.glob("*.py")
+    }
 
 
-def test_no_name_of_a_deployment() -> None:
-    words = set(NAMES.split())
-    for text in TEXTS.values():
+def test_policy_files_contain_no_name_of_a_deployment() -> None:
+    words = set(DEPLOYMENT_NAMES.split())
+    for text in SOURCES.values():
         found = set(re.findall(r"[a-z]+(?:-[a-z]+)*", text.lower()))
         assert found.isdisjoint(words)
 
 
-def test_the_docstring_names_the_interface() -> None:
-    docstring = ast.get_docstring(ast.parse(TEXTS[PACKAGE / "policy.py"])) or ""
+def test_the_docstring_of_the_policy_names_the_modules_of_the_interface() -> None:
+    docstring = ast.get_docstring(ast.parse(SOURCES[PACKAGE / "policy.py"])) or ""
     assert all(f"{name}.py" in docstring for name in INTERFACE)
 
 
-def test_no_module_imports_in_a_circle() -> None:
-    """Not only no package: each module stands above all that it imports, wherever in its text it does."""
+def test_there_is_no_import_cycle_between_modules() -> None:
+    """Imports inside functions count as well, not only those at the head of a module."""
     root = PACKAGE.parent
     files = {
         ".".join(path.relative_to(root.parent).with_suffix("").parts): path for path in root.glob("**/*.py")
@@ -114,12 +116,14 @@
     while free := {module for module, needs in imports.items() if not needs & imports.keys()}:
         for module in free:
             del imports[module]
-    assert not imports, "these import in a circle"
+    assert not imports, "these modules form or depend on an import cycle"
 
 
-def test_a_sender_knows_nothing_of_the_lab_and_the_fleet_nothing_of_a_sender() -> None:
+def test_only_listed_packages_use_the_testing_or_the_sender_package() -> None:
     root = PACKAGE.parent
     for path in root.glob("**/*.py"):
-        wing, text = path.relative_to(root).parts[0], path.read_text(encoding="utf-8")
-        assert "kestreltrack.testing" not in text or wing in ("testing", "cli"), path
-        assert "kestreltrack.sender" not in text or wing in ("sender", "testing", "cli", "__main__.py"), path
+        package, text = path.relative_to(root).parts[0], path.read_text(encoding="utf-8")
+        assert "kestreltrack.testing" not in text or package in ("testing", "cli"), path
+        assert "kestreltrack.sender" not in text or package in ("sender", "testing", "cli", "__main__.py"), (
+            path
+        )
