--- a/kestreltrack/decision/circuit_breaker.py
+++ b/kestreltrack/decision/circuit_breaker.py
@@ -118,7 +118,7 @@
         destination.limits.breaker.consecutive_failures = 1
 
 
-def handle_return(endpoint: Endpoint, now: float) -> None:
+def warm_up_after_draining(endpoint: Endpoint, now: float) -> None:
     """Warm up an endpoint that was draining and accepts calls again: it was restarted in the meantime."""
     endpoint.limits[-1].start_warm_up(now)
 
--- a/kestreltrack/decision/event_handling.py
+++ b/kestreltrack/decision/event_handling.py
@@ -67,7 +67,7 @@
                 self.shutdown_deadline = event.deadline
             case EndpointsUpdated():
                 for endpoint in self.update_endpoints(event, self._new_endpoint):
-                    circuit_breaker.handle_return(endpoint, self.now)
+                    circuit_breaker.warm_up_after_draining(endpoint, self.now)
             case DiscoveryFailed():
                 discovery_polling.handle_failure(self)
             case _:
--- a/kestreltrack/decision/fair_queue.py
+++ b/kestreltrack/decision/fair_queue.py
@@ -20,8 +20,8 @@
     destination = message.destination
     objective_ms = message.class_settings.latency_objective_ms
     destination.latency_objective_ms = max(destination.latency_objective_ms, objective_ms)
-    sharing = sum(1 for other in state.active_destinations.values() if other.queued)
-    rho = state.settings.concurrency_limit / sharing
+    sharing_destinations = sum(1 for other in state.active_destinations.values() if other.queued)
+    rho = state.settings.concurrency_limit / sharing_destinations
     sigma = rho * destination.latency_objective_ms
     size = destination.mean_latency_ms or objective_ms
     tokens = refilled(destination.tokens, rho, state.now - destination.last_arrival_at, sigma)
--- a/kestreltrack/decision/message_rules.py
+++ b/kestreltrack/decision/message_rules.py
@@ -68,8 +68,8 @@
     """Return why no further attempt is allowed, or an empty text."""
     if must_not_repeat(message):
         return "in doubt"
-    spent = message.attempts - message.uncounted_attempts >= state.settings.max_attempts
-    return "try limit" if spent else ""
+    exhausted = message.attempts - message.uncounted_attempts >= state.settings.max_attempts
+    return "try limit" if exhausted else ""
 
 
 def give_up_at(message: Message) -> float:
@@ -90,8 +90,8 @@
     The limit of each destination falls with the free capacity, which leaves room for other destinations.
     """
     free = state.settings.queue_capacity - len(state.messages) + 1
-    most = MAX_QUEUED_UNHEALTHY if message.destination.unhealthy else MAX_QUEUED_HEALTHY
-    return "hold full" if len(message.destination.queued) > most * free and not message.accepted else ""
+    max_ratio = MAX_QUEUED_UNHEALTHY if message.destination.unhealthy else MAX_QUEUED_HEALTHY
+    return "hold full" if len(message.destination.queued) > max_ratio * free and not message.accepted else ""
 
 
 def message_to_shed(state: DeliveryState) -> Message | None:
--- a/kestreltrack/decision/policy.py
+++ b/kestreltrack/decision/policy.py
@@ -73,18 +73,20 @@
         if self.in_flight >= self.settings.concurrency_limit:
             return
         waiting = [destination for destination in self.active_destinations.values() if destination.queued]
-        firsts = {id(destination): self._first_message(destination) for destination in waiting}
+        first_messages = {id(destination): self._first_message(destination) for destination in waiting}
         while self.in_flight < self.settings.concurrency_limit:
-            ready = [message for message in firsts.values() if message]
+            ready = [message for message in first_messages.values() if message]
             eligible = [m for m in ready if m.start_tag <= self.now + self.virtual_time_shift]
             if eligible:
                 message = min(eligible, key=lambda m: m.finish_tag)
                 # A call changes no other destination, so only this first message is selected again.
                 self._start_call(message)
-                firsts[id(message.destination)] = self._first_message(message.destination)
+                first_messages[id(message.destination)] = self._first_message(message.destination)
             elif ready:
                 fair_queue.synchronize(self, ready)
-                firsts = {id(destination): self._first_message(destination) for destination in waiting}
+                first_messages = {
+                    id(destination): self._first_message(destination) for destination in waiting
+                }
             else:
                 return
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -67,7 +67,7 @@
 # Module, name, and its value with which the module decides as it did when the days were stored.
 DECIDED_SINCE: list[tuple[ModuleType, str, object]] = [
     (rate_limit, "OPENING_GAP_SHARE", 0.0),
-    (circuit_breaker, "handle_return", lambda endpoint, now: None),
+    (circuit_breaker, "warm_up_after_draining", lambda endpoint, now: None),
 ]
 
 
