--- a/kestreltrack/sender/__init__.py
+++ b/kestreltrack/sender/__init__.py
@@ -1,6 +1,7 @@
-"""One sender.
+"""The sender process.
 
-Messages: `delivery.py` (a message from its submission on), `attempt.py`, `message_lifecycle.py`, `recovery.py`, and
-`dispatcher.py` between them and the decision module.  The endpoint list: `endpoint_updates.py`, `discovery.py`.  The
-process: `assembly.py` (which parts the configuration asks for), `daemon.py` (start, service and stop).
+Message delivery: `delivery.py` handles a message from its submission on, with `attempt.py`, `message_lifecycle.py`
+and `recovery.py`; `dispatcher.py` connects them to the decision module.  Endpoint list: `endpoint_updates.py` and
+`discovery.py`.  Process: `assembly.py` builds the components that the configuration enables, and `daemon.py` runs
+startup, service and shutdown.
 """
--- a/kestreltrack/sender/attempt.py
+++ b/kestreltrack/sender/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to deliver a message: from the decision to start it to its recorded outcome."""
+"""Runs single delivery attempts, from the decision to start one to the record of its outcome."""
 
 from __future__ import annotations
 
@@ -23,20 +23,25 @@
 from kestreltrack.sender.shutdown_state import ShutdownState
 from kestreltrack.telemetry import Telemetry
 
-# From the first byte of an attempt to its last at the destination, which must still know the idempotency key then.
+# Time allowed for a request to arrive in full; the destination must still know the idempotency key at its last byte.
 REQUEST_TRANSIT_MS = 100.0
 
 
 @dataclass(slots=True)
-class _Execution:
-    """How an attempt ended at the transport."""
+class _SendResult:
+    """The result of one call of the transport.
+
+    Attributes:
+        result: What the transport returned.
+        interrupted: Whether the process shut down while the attempt was in flight.
+    """
 
     result: AttemptResult
-    interrupted: bool = False  # by the end of this process
+    interrupted: bool = False
 
 
 class AttemptRunner:
-    """Carries out single attempts; the decision module says which, and learns how they ended."""
+    """Runs the attempts that the decision module starts, and reports their outcomes back to it."""
 
     def __init__(
         self,
@@ -49,7 +54,6 @@
         retry_after: RetryAfterSharing,
         shutdown: ShutdownState,
     ) -> None:
-        """Wire the parts together."""
         self.dispatcher = dispatcher
         self.settings = settings
         self.journal = journal
@@ -62,34 +66,38 @@
     async def run(
         self, outstanding: OutstandingMessage, pending: PendingMessage, decision: StartAttempt
     ) -> AttemptResult:
-        """Carry out one attempt, record its outcome in the journal and notify the decision module of it.
+        """Run one attempt, record its outcome in the journal and notify the decision module.
+
+        A final result is returned even if the process is shutting down, so that the caller can record the end of
+        the message.
 
-        Where this process ends meanwhile, `asyncio.CancelledError` is raised once the outcome is recorded, unless the
-        outcome is final: then the caller goes on to record the end of the message.
+        Raises:
+            asyncio.CancelledError: The process shut down during the attempt.  A non-final outcome of an attempt that
+                began has been recorded by then.
         """
         started_at_ms = self.dispatcher.clock()
         attempts_before = outstanding.attempts
-        execution = await self._execute(outstanding, pending, decision)
-        result = execution.result
+        send_result = await self._send(outstanding, pending, decision)
+        result = send_result.result
         duration_ms = self.dispatcher.clock() - started_at_ms
         self._apply_retry_after(outstanding.message, result)
-        # Without a record of its own it never began: an attempt that the journal shows as in flight is one of an
-        # ended process, and stays ambiguous.  A final one is followed by the record of the message's end.
+        # An attempt without its own record never began.  If the journal still shows one in flight, it belongs to an
+        # earlier process and stays ambiguous.  After a final result the caller records the end of the message.
         recorded = outstanding.attempts > attempts_before
         if recorded and not result.final:
             try_write(self.telemetry, self.journal.record_outcome, outstanding, result.outcome)
-        if execution.interrupted and not result.final:
+        if send_result.interrupted and not result.final:
             raise asyncio.CancelledError
         self._log(outstanding.message, decision.endpoint, result, duration_ms)
         self._notify_ended(pending, decision, result, duration_ms, recorded)
         return result
 
-    async def _execute(
+    async def _send(
         self, outstanding: OutstandingMessage, pending: PendingMessage, decision: StartAttempt
-    ) -> _Execution:
+    ) -> _SendResult:
         address = self.endpoint_list.address(decision.endpoint)
         if address is None or pending.withdrawn:
-            return _Execution(AttemptResult(Outcome.NOT_SENT))
+            return _SendResult(AttemptResult(Outcome.NOT_SENT))
         attempt = Attempt(
             outstanding.message,
             decision.endpoint,
@@ -105,24 +113,25 @@
         try:
             await asyncio.wait({task})
         except asyncio.CancelledError:
-            # This process ends.  What is known of the attempt is recorded first: its response may have been read in
-            # this very turn of the loop, and the next process would deliver the message a second time.
+            # The process is shutting down.  The transport may have read the response in this same iteration of the
+            # event loop; without a record of it the next process would deliver the message a second time.
             interrupted = True
             task.cancel()
             await asyncio.wait({task})
         pending.attempt_task = None
-        return _Execution(_task_result(task, self.telemetry), interrupted)
+        return _SendResult(_task_result(task, self.telemetry), interrupted)
 
     def _record_delivered(self, outstanding: OutstandingMessage) -> None:
-        """Record the end of a message at the first line of its success: the rest may outlast this process."""
+        """Record completion at the status line: the process may exit before the rest of the response arrives."""
         if outstanding.message.id in self.journal.outstanding:
             try_write(self.telemetry, self.journal.record_completed, outstanding)
 
     def _begin(self, outstanding: OutstandingMessage, endpoint: str, *other_message_ids: str) -> bool:
         """Return whether the first byte of an attempt may be sent, and record the attempt in the journal if so.
 
-        Connecting takes time.  Since the decision, a Retry-After or a drain may have come, the deadline of the
-        shutdown may have passed, or the deduplication window of the destination may have ended.
+        The conditions are checked again because connecting takes time: since the decision, a Retry-After or a drain
+        may have arrived, the shutdown deadline may have passed, or the destination's deduplication window may have
+        ended.
         """
         self.retry_after.receive()
         others = [self.journal.outstanding[message_id] for message_id in other_message_ids]
@@ -143,13 +152,13 @@
         )
 
     def _deduplication_window_expired(self, outstanding: OutstandingMessage) -> bool:
-        """Return whether a message with an idempotency key could be executed twice by an attempt that begins now."""
+        """Return whether an attempt that begins now could execute a message with an idempotency key twice."""
         message_class = self.settings.classes[outstanding.message.cls]
         ambiguous = outstanding.first_ambiguous()
         if ambiguous is None or message_class.idempotency is not Idempotency.KEYED:
             return False
-        # An attempt in the future dates from before the machine's clock was set back: how much of the window is
-        # left is unknown.
+        # A start time in the future means that the system clock was set back since: how much of the window is left
+        # is unknown.
         if ambiguous.at - REQUEST_TRANSIT_MS > self.dispatcher.clock():
             return True
         window_end_ms = ambiguous.at + message_class.deduplication_window_ms
@@ -160,7 +169,9 @@
             return
         self.retry_after.publish(message.dest, result.retry_after_ms)
         if result.outcome is Outcome.NOT_SENT:
-            # It came for the batch call that this message was to share, and binds all the same.
+            # The Retry-After came with the response to the batch call that this message was assigned to, and applies
+            # all the same.  The decision module learns nothing from an attempt that was not sent, so it is notified
+            # by a separate event.
             retry_at_ms = self.dispatcher.clock() + result.retry_after_ms
             self.dispatcher.notify(RetryAfterReceived(message.dest, retry_at_ms, rejected=False))
 
@@ -210,7 +221,7 @@
 
 
 def _task_result(task: asyncio.Task[AttemptResult], telemetry: Telemetry) -> AttemptResult:
-    """Return the result of an attempt, also where it was cancelled before it began or its transport failed."""
+    """Return the result of an attempt, including one cancelled before it began or one whose transport failed."""
     if task.cancelled():
         return AttemptResult(Outcome.NOT_SENT)
     error = task.exception()
--- a/kestreltrack/sender/delivery.py
+++ b/kestreltrack/sender/delivery.py
@@ -1,4 +1,4 @@
-"""Delivery of messages: one task each, `Core.deliver`, that reads from top to bottom."""
+"""The application core of the sender, which delivers each message in a task of its own, `Core.deliver`."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 from kestreltrack.sender.shutdown_state import ShutdownState
 from kestreltrack.telemetry import Telemetry
 
-# A message may ask for the full deadline of its class, which loses its last bits when it is added to the clock.
+# A message may request the full deadline of its class; adding that to the clock rounds the sum.
 CLOCK_TOLERANCE_MS = 1.0
 
 
 class Core:
-    """Carries messages from their submission to their ends; the decision module decides at each point of choice."""
+    """Delivers messages from their submission to their final result, as the decision module directs."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         telemetry: Telemetry,
         jitter: Callable[[], float] = random.random,
     ) -> None:
-        """Wire the parts together; `jitter` spreads what many senders would do at the same moment."""
+        """Build the components; `jitter` returns a number in [0, 1) that spreads the polls of many senders."""
         self.dispatcher = dispatcher
         self.settings = settings
         self.journal = journal
@@ -89,23 +89,23 @@
 
     async def submit(self, message: Message) -> SubmitResult:
         """Start the delivery of a message, and return once it is accepted or rejected."""
-        if self.shutdown.abandoned:  # nobody would carry it to its end
+        if self.shutdown.abandoned:  # this process no longer delivers messages
             return Rejected()
         submit_result: asyncio.Future[SubmitResult] = asyncio.get_running_loop().create_future()
 
-        def ensure_answered(_: object) -> None:
-            # Without an answer the task was cancelled, perhaps before its first step and with nothing recorded, or
-            # it ended by a fault.
+        def ensure_result(_: object) -> None:
+            # The result is missing if the task was cancelled, possibly before it ran at all and with nothing
+            # recorded, or if it raised an exception.
             if not submit_result.done():
                 submit_result.set_result(
                     Rejected() if self.shutdown.abandoned else InvalidMessage("internal error")
                 )
 
-        self.tasks.start(self.deliver(message, submit_result)).add_done_callback(ensure_answered)
+        self.tasks.start(self.deliver(message, submit_result)).add_done_callback(ensure_result)
         return await submit_result
 
     def withdraw(self, message_id: str) -> None:
-        """End a message whose client has left without an answer, and cancel its attempt in flight."""
+        """End the delivery of a message whose client disconnected without a reply, and cancel its attempt."""
         pending = self.dispatcher.pending_messages.get(message_id)
         if pending is not None:
             self.telemetry.count("delivery.withdrawn")
@@ -115,8 +115,8 @@
     # Delivery ------------------------------------------------------------------------------------
 
     async def deliver(self, message: Message, submit_result: asyncio.Future[SubmitResult]) -> None:
-        """Carry a message from its submission to its end."""
-        immediate_result = self._answer_without_decision(message)
+        """Deliver a message, from its submission to its final result."""
+        immediate_result = self._result_without_decision(message)
         if immediate_result is not None:
             submit_result.set_result(immediate_result)
             return
@@ -133,8 +133,8 @@
         finally:
             pending.remove()
 
-    def _answer_without_decision(self, message: Message) -> SubmitResult | None:
-        """Return the answer to a message that the decision module need not see; `None` where it must."""
+    def _result_without_decision(self, message: Message) -> SubmitResult | None:
+        """Return the result for a message that is invalid, a duplicate or over capacity; else `None`."""
         reason = self._invalid_reason(message)
         if reason is not None:
             self.lifecycle.count_result(message, MessageResult.ABORTED)
@@ -151,7 +151,7 @@
         return None
 
     def _invalid_reason(self, message: Message) -> str | None:
-        """Return why no sender with these settings could deliver the message; `None` for a valid one."""
+        """Return why no sender with these settings could deliver the message, or `None` if it is valid."""
         message_class = self.settings.classes.get(message.cls)
         if message_class is None:
             return "unknown class"
@@ -166,7 +166,7 @@
         return queue_has_room and self.journal.has_capacity_for(message)
 
     def _reject_on_arrival(self, message: Message, decision: RejectMessage | FailMessage) -> Rejected:
-        """Return the answer to a message that the decision module gave up in the step of its arrival."""
+        """Return the result for a message that the decision module rejected or failed on arrival."""
         self.telemetry.count("delivery.rejected")
         if isinstance(decision, RejectMessage):
             self.lifecycle.count_result(message, MessageResult.DECLINED)
@@ -175,7 +175,7 @@
         return Rejected(None)
 
     def _accept(self, message: Message, submit_result: asyncio.Future[SubmitResult]) -> OutstandingMessage:
-        """Record the message and answer its client; where there is no room for the record it is withdrawn."""
+        """Record the message and accept it; withdraw and reject it if the journal has no room for the record."""
         try:
             outstanding = self.journal.record_accepted(message)
         except JournalFullError as error:
@@ -191,33 +191,33 @@
     # Recovery ------------------------------------------------------------------------------------
 
     def recover(self, outstanding_messages: list[OutstandingMessage] | None = None) -> None:
-        """Resume the messages that an earlier process left: those given, or else all that the journal holds.
+        """Resume messages that an earlier process left outstanding; by default all those in the journal.
 
-        All that the journal holds go in the order of their expiry: the decision module serves first what it learns
-        of first.
+        Those of the journal are resumed in order of expiry, because the decision module serves messages in the order
+        of their arrival events.
         """
         if outstanding_messages is None:
             outstanding_messages = sorted_by_expiry(self.journal.outstanding.values())
         self.recovery.recover(outstanding_messages)
 
-    # Discovery and other senders -----------------------------------------------------------------
+    # Discovery and sender count ------------------------------------------------------------------
 
     async def follow_source(self, source: EndpointSource) -> None:
-        """Follow the endpoint list of `source` without end."""
+        """Apply the updates of `source` to the endpoint list; runs until it is cancelled."""
         await self.endpoint_updates.follow(source)
 
     def poll_now(self) -> None:
-        """Poll the source of the endpoint list at once: it has moved to another address."""
+        """Poll the source of the endpoint list at once, because its address has changed."""
         self.endpoint_updates.poll_now()
 
     def set_sender_count(self, sender_count: int) -> None:
-        """Notify the decision module of the number of senders that share each destination's limit."""
+        """Notify the decision module of the number of senders that share the limit of each destination."""
         self.dispatcher.notify(SenderCountChanged(sender_count))
 
     # Shutdown ------------------------------------------------------------------------------------
 
     def start_shutdown(self, deadline_ms: float) -> None:
-        """Notify the decision module that attempts have to end by `deadline_ms`; none begins after that."""
+        """Begin the shutdown: attempts have to end by `deadline_ms`, and none begins from then on."""
         self.shutdown.begin(deadline_ms)
         self.dispatcher.notify(ShutdownStarted(deadline_ms))
 
@@ -226,7 +226,7 @@
         return all(pending.attempt_task is None for pending in self.dispatcher.pending_messages.values())
 
     async def abandon(self) -> None:
-        """Cancel the attempts in flight and leave all messages as they are then; the journal has them."""
+        """Cancel all deliveries; the journal keeps the outstanding messages for the next process."""
         self.shutdown.abandon()
         self.dispatcher.close()
         await self.tasks.cancel_all()
--- a/kestreltrack/sender/dispatcher.py
+++ b/kestreltrack/sender/dispatcher.py
@@ -1,6 +1,7 @@
-"""The dispatcher between the tasks that carry messages and the decision module.
+"""The dispatcher between the delivery tasks and the decision module.
 
-It serialises the steps of the module and routes its actions to the waiting tasks; it decides nothing.
+It serialises the calls of the decision module and routes the resulting actions to the waiting tasks.  It makes no
+decisions itself.
 """
 
 from __future__ import annotations
@@ -29,52 +30,52 @@
 
 
 class Decider(Protocol):
-    """The decision module, or a wrapper that passes everything on to it; times are in ms on the clock of `now`."""
+    """The decision module or a wrapper around it; `now` is the time of the dispatcher's clock in ms."""
 
     def handle(self, now: float, event: Event) -> None:
-        """Take one event into account."""
+        """Update the state with one event."""
 
     def decide(self, now: float) -> Sequence[Action]:
-        """Return what to do after all events handled so far."""
+        """Return the actions that follow from all events handled so far."""
 
     def permits(self, now: float, dest: int, endpoint_name: str) -> bool:
-        """Return whether an attempt that has been started may still send its first byte."""
+        """Return whether an attempt that was started may still send its first byte."""
 
 
-# Until the module decides again after a step that failed.
+# Delay before the next decision after one that raised an exception.
 RETRY_DELAY_S = 0.05
-# Between two decisions: one decision for several events costs as much as one for a single event.
+# Minimum interval between decisions; a decision about several events costs as much as one about a single event.
 MIN_DECISION_INTERVAL_S = 0.005
 
 
 class PendingMessage:
-    """One message that waits for decisions about it, and its attempt in flight."""
+    """A message that the decision module decides about, with its attempt in flight."""
 
     def __init__(self, dispatcher: Dispatcher, message_id: str) -> None:
-        """Register the message with the dispatcher, until `remove`."""
+        """Register the message with the dispatcher; `remove` unregisters it."""
         self._dispatcher = dispatcher
         self._message_id = message_id
         self._decision: asyncio.Future[MessageDecision | None] = asyncio.get_running_loop().create_future()
-        self.attempt_task: asyncio.Task[object] | None = None  # the attempt in flight
-        self.attempt_number = 0  # of the attempt in flight, or else of the next one
-        self.batch_call: BatchCall | None = None  # of the last decision, where it shares a call with others
+        self.attempt_task: asyncio.Task[object] | None = None  # None if no attempt is in flight
+        self.attempt_number = 0  # of the attempt in flight, or of the next one
+        self.batch_call: BatchCall | None = None  # set if the last decision put the message into a batch
         self.withdrawn = False
         dispatcher.pending_messages[message_id] = self
 
     def remove(self) -> None:
-        """Remove the message from the dispatcher: nothing more is decided about it."""
+        """Unregister the message; no decision about it may follow."""
         self._dispatcher.pending_messages.pop(self._message_id, None)
 
     def set_decision(self, decision: MessageDecision) -> None:
-        """Pass the next decision on to the task that waits for it."""
+        """Pass a decision to the task that waits in `next_decision`."""
         if self.withdrawn:
-            return  # decided before the module was notified
+            return  # decided before the decision module handled the withdrawal
         self._dispatcher.telemetry.check_invariant(not self._decision.done(), "one_order_at_a_time")
         if not self._decision.done():
             self._decision.set_result(decision)
 
     def withdraw(self) -> None:
-        """Cancel the attempt in flight and accept no further decision: no client waits for the message."""
+        """Cancel the attempt in flight and ignore further decisions, because the client has disconnected."""
         self.withdrawn = True
         if self.attempt_task is not None:
             self.attempt_task.cancel()
@@ -82,19 +83,19 @@
             self._decision.set_result(None)
 
     def cancel_attempt(self, attempt_number: int) -> None:
-        """Cancel the attempt with this number where it is still in flight."""
+        """Cancel the attempt with this number if it is still in flight."""
         if self.attempt_task is not None and self.attempt_number == attempt_number:
             self.attempt_task.cancel()
 
     def final_decision(self) -> RejectMessage | FailMessage | None:
-        """Return the decision that waits to be carried out where it ends the message."""
+        """Return the decision that `next_decision` will return next, if it is known and ends the message."""
         if not self._decision.done():
             return None
         decision = self._decision.result()
         return decision if isinstance(decision, RejectMessage | FailMessage) else None
 
     async def next_decision(self) -> MessageDecision | None:
-        """Wait for the next decision; return `None` once the message is withdrawn."""
+        """Return the next decision once it is made, or `None` if the message is withdrawn."""
         if self.withdrawn and not self._decision.done():
             return None
         decision = await self._decision
@@ -103,10 +104,10 @@
 
 
 class Dispatcher:
-    """Notifies the module of each event at once, and has it decide about several events together."""
+    """Passes each event to the decision module at once, and lets it decide about several events together."""
 
     def __init__(self, decider: Decider, clock: Clock, telemetry: Telemetry) -> None:
-        """Start with no message; the parts that serve polls, connections and overrides set the callbacks."""
+        """Start without messages; other components set the callbacks."""
         self.decider = decider
         self.clock = clock
         self.telemetry = telemetry
@@ -117,20 +118,20 @@
         self._closed = False
         self.on_poll_requested: Callable[[], None] = lambda: None
         self.on_close_idle: Callable[[str], None] = lambda uid: None
-        # Keeps endpoints draining that the operators have excluded, or that the agreed configuration does not serve.
+        # Marks endpoints as draining that operators excluded or that the replicated configuration does not serve.
         self.apply_overrides: Callable[[EndpointsUpdated], EndpointsUpdated] = lambda update: update
-        # Whether the agreed configuration lets attempts to a destination begin.
+        # Returns whether the replicated configuration permits attempts to a destination.
         self.may_serve: Callable[[int], bool] = lambda dest: True
-        # The most messages in one call to an endpoint; `None` where it is one for all endpoints.
+        # Returns the maximum number of messages in one call to an endpoint; None disables batching.
         self.max_batch_size: Callable[[str], int] | None = None
 
     def notify(self, event: Event) -> None:
-        """Pass an event on to the module at once; it decides soon, about all events until then together."""
+        """Pass an event to the decision module at once, and schedule a decision if none is scheduled yet."""
         if isinstance(event, EndpointsUpdated):
             event = self.apply_overrides(event)
         try:
             self.decider.handle(self.clock(), event)
-        except Exception as error:  # a fault of the module must not end the process that owes answers
+        except Exception as error:  # a bug in the decision module must not stop the process
             self.telemetry.record_fault("decision.fault", error=repr(error), on=type(event).__name__)
         if not self._decision_scheduled:
             self._decision_scheduled = True
@@ -138,11 +139,11 @@
             loop.call_at(max(loop.time(), self._decided_at_s + MIN_DECISION_INTERVAL_S), self._decide)
 
     async def wait_for_decision(self) -> None:
-        """Wait until the module has decided about all events so far."""
+        """Wait until the decision module has decided about all events so far."""
         await self._decision_made.wait()
 
     def close(self) -> None:
-        """Decide nothing more: messages without an end are left to the next process."""
+        """Make no further decisions; the next process resumes the outstanding messages."""
         self._closed = True
 
     def _decide(self) -> None:
@@ -160,14 +161,14 @@
             self._group_batches(actions, self.max_batch_size)
         for action in actions:
             self._route(action)
-        # Whoever waits is woken; whoever comes later waits for the next decision.
+        # Tasks that call `wait_for_decision` from here on wait for the next decision.
         self._decision_made.set()
         self._decision_made = asyncio.Event()
 
     def _group_batches(self, actions: Sequence[Action], max_batch_size: Callable[[str], int]) -> None:
-        """Put the attempts that one decision starts at one endpoint into as few calls as possible.
+        """Group the attempts that one decision starts at the same endpoint into as few calls as possible.
 
-        The module counts calls in the same way.
+        The decision module counts calls against its limits in the same way.
         """
         pending_by_endpoint: dict[str, list[PendingMessage]] = {}
         for action in actions:
@@ -183,7 +184,7 @@
                     pending.batch_call = batch_call
 
     def permits(self, dest: int, uid: str) -> bool:
-        """Return whether an attempt that had to wait for its connection may still send its first byte."""
+        """Return whether an attempt that waited for its connection may still send its first byte."""
         return self.may_serve(dest) and self.decider.permits(self.clock(), dest, uid)
 
     def _route(self, action: Action) -> None:
--- a/kestreltrack/sender/endpoint_updates.py
+++ b/kestreltrack/sender/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Follows the source of the endpoint list and passes its updates on to the decision module and the journal."""
+"""Applies the updates of the endpoint source to the decision module, the journal and the connection pool."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 from kestreltrack.sender.message_tasks import MessageTasks
 from kestreltrack.telemetry import Telemetry
 
-# Until an agent that pushes lists is followed again after a failure: a new call costs it nothing, and drains wait
-# for it.
-AGENT_RETRY_DELAY_S = 0.02
-# From the start of a poll until the next one starts without a request of the decision module.  It is more than the
-# module ever waits, and little enough for a change to be received within 6 s of the return of the discovery service.
+# Delay before a push source is followed again after a failure; short because a new call is cheap for the source and
+# drains are delayed until it is followed.
+PUSH_SOURCE_RETRY_DELAY_S = 0.02
+# Maximum time between the starts of two polls without a request of the decision module.  It is longer than any poll
+# interval of the module, and short enough to receive a change within 6 s of the recovery of the discovery service.
 MAX_POLL_INTERVAL_S = 3.8
-# From the end of a poll until the next one starts without a request of the decision module.
+# Minimum time from the end of a poll to the start of the next one without a request of the decision module.
 MIN_POLL_PAUSE_S = 0.3
-# After SIGHUP: what a new address of the source lists has to be received within this time.
+# Time after a SIGHUP within which the list of a new source address has to be received.
 NEW_SOURCE_PERIOD_S = 4.0
-# Mean time between polls of a new address that fails.
+# Mean delay before a poll of a new source address is retried.
 NEW_SOURCE_RETRY_DELAY_S = 0.4
-# Between the chunks of a large update: as long as one takes, so that messages get half of the time.
+# Pause between two chunks of a large update, as long as one chunk takes, so that messages get half of the time.
 CHUNK_PAUSE_S = 0.004
 
 
 class EndpointUpdates:
-    """Keeps the endpoint list, the decision module and the journal at what the source tells."""
+    """Keeps the endpoint list, the decision module and the journal in sync with the endpoint source."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         tasks: MessageTasks,
         jitter: Callable[[], float],
     ) -> None:
-        """Wire the parts together; `jitter` returns a number of [0, 1) that spreads the polls of many senders."""
+        """Start without a list; `jitter` returns a number in [0, 1) that spreads the polls of many senders."""
         self.dispatcher = dispatcher
         self.settings = settings
         self.journal = journal
@@ -59,24 +59,23 @@
         self.tasks = tasks
         self.update_queue = IncrementalUpdateQueue(endpoint_list)
         self.poll_requested = asyncio.Event()
-        self.list_received = asyncio.Event()  # set once the source has sent its first update
+        self.list_received = asyncio.Event()  # set by the first update of the source
         self._jitter = jitter
         self._applying_remainder = False
-        self._source_new_until_s = (
-            -math.inf
-        )  # on the loop's clock: until then the new source may not answer yet
+        # On the loop's clock: until then a new source address may not respond yet, and is polled more often.
+        self._new_source_deadline_s = -math.inf
 
     def poll_now(self) -> None:
-        """Poll at once, whatever the decision module waits for: the source has moved to another address."""
+        """Poll without a request of the decision module, because the address of the source has changed."""
         self.poll_requested.set()
-        self._source_new_until_s = asyncio.get_running_loop().time() + NEW_SOURCE_PERIOD_S
+        self._new_source_deadline_s = asyncio.get_running_loop().time() + NEW_SOURCE_PERIOD_S
 
     async def follow(self, source: EndpointSource) -> None:
-        """Poll the source whenever the decision module requests it, and pass on the updates, without end.
+        """Poll the source when the decision module requests it, and apply its updates; runs until it is cancelled.
 
-        Where lists are pushed the module never requests a poll: the source is followed from the start, and again
-        after each failure.  Whatever fails, the source is polled again: if updates stopped for good, drains would
-        be missed.
+        The decision module never requests a poll of a push source, which is followed from the start and again after
+        each failure.  The source is polled again after any failure, because drains would be missed if updates
+        stopped for good.
         """
         loop = asyncio.get_running_loop()
         poll_started_at_s = loop.time()
@@ -86,18 +85,18 @@
             await self._follow_until_failure(source)
             self.dispatcher.notify(DiscoveryFailed())
             if not self.settings.must_poll:
-                await asyncio.sleep(AGENT_RETRY_DELAY_S)
+                await asyncio.sleep(PUSH_SOURCE_RETRY_DELAY_S)
                 self.poll_requested.set()
 
     async def _wait_until_poll_due(self, last_poll_started_at_s: float) -> None:
-        """Wait for a request of the decision module, for a limited time.
+        """Wait for a poll request of the decision module, for a limited time.
 
-        A request may be lost by a fault of the module or of the dispatcher.  And the module's backoff, made for an
-        outage, is too long for an address that is new.
+        A bug in the decision module or the dispatcher may lose a request.  In addition, the backoff of the module is
+        meant for an outage and too long for a new source address.
         """
         loop = asyncio.get_running_loop()
         due_at_s = max(last_poll_started_at_s + MAX_POLL_INTERVAL_S, loop.time() + MIN_POLL_PAUSE_S)
-        if loop.time() < self._source_new_until_s:
+        if loop.time() < self._new_source_deadline_s:
             due_at_s = loop.time() + NEW_SOURCE_RETRY_DELAY_S * (0.5 + self._jitter())
         with suppress(TimeoutError):
             async with asyncio.timeout_at(due_at_s):
@@ -105,20 +104,20 @@
         self.poll_requested.clear()
 
     async def _follow_until_failure(self, source: EndpointSource) -> None:
-        """Pass on what the source sends, until it ends or fails, and record how it failed."""
+        """Apply the updates of the source until it ends or fails, and record the failure."""
         task = asyncio.current_task()
         try:
-            await self._pass_on_updates(source)
+            await self._apply_updates(source)
         except DiscoveryError as error:
             self.telemetry.record_fault("discovery.failed", error=str(error))
         except asyncio.CancelledError:
             if task is None or task.cancelling():
                 raise
             self.telemetry.record_fault("discovery.fault", error="the source was cancelled")
-        except Exception as error:  # a fault of the source, or of what its updates are passed on to
+        except Exception as error:  # a bug in the source or in a receiver of its updates
             self.telemetry.record_fault("discovery.fault", error=repr(error))
 
-    async def _pass_on_updates(self, source: EndpointSource) -> None:
+    async def _apply_updates(self, source: EndpointSource) -> None:
         async with aclosing(source.follow()) as updates:  # type: ignore[type-var]
             async for update in updates:
                 self._log(update)
@@ -137,13 +136,14 @@
             )
 
     def apply_next_chunk(self, is_remainder: bool = False) -> None:
-        """Pass on the most urgent chunk; a task passes on the rest, with time for messages in between.
+        """Apply the most urgent chunk of the queued updates, and start a task that applies the remaining ones.
 
-        A chunk of the rest is marked as cached, since it is no sign that the source can still be reached: its
-        connection may have failed meanwhile, and the decision module has to request a poll then.
+        The task marks its chunks as cached, because they are no evidence that the source is still reachable: its
+        connection may have failed meanwhile, and then the decision module has to request a poll.
         """
         chunk = self.update_queue.next_chunk()
-        if chunk is None:  # a large list with no change: that the source answered is news all the same
+        if chunk is None:
+            # Nothing changed in a large list, but the response shows that the source is reachable.
             self.dispatcher.notify(EndpointsUpdated([], complete=False, cached=is_remainder))
             return
         self.dispatcher.notify(replace(chunk.event, cached=is_remainder))
@@ -162,7 +162,7 @@
                 await asyncio.sleep(CHUNK_PAUSE_S)
                 try:
                     self.apply_next_chunk(is_remainder=True)
-                except Exception as error:  # the rest must not wait for the next update
+                except Exception as error:  # the remaining chunks must not wait for the next update
                     self.telemetry.record_fault("discovery.fault", error=repr(error))
         finally:
             self._applying_remainder = False
--- a/kestreltrack/sender/journal_writes.py
+++ b/kestreltrack/sender/journal_writes.py
@@ -1,4 +1,4 @@
-"""Writes to the journal whose failure must not end the task that makes them."""
+"""Journal writes that must not end the calling task when they fail."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def try_write(telemetry: Telemetry, write: Callable[..., None], *arguments: object) -> bool:
-    """Call `write` with `arguments`, and return whether the folder of the journal had room for the record."""
+    """Call `write(*arguments)` and return whether the journal had room; record a fault if it had none."""
     try:
         write(*arguments)
     except JournalFullError as error:
--- a/kestreltrack/sender/message_lifecycle.py
+++ b/kestreltrack/sender/message_lifecycle.py
@@ -1,4 +1,4 @@
-"""What follows once a message is accepted: attempts until a final result, notification, and the record of its end."""
+"""The lifecycle of accepted messages: attempts until a final result, notification, and the record of completion."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 from kestreltrack.sender.shutdown_state import ShutdownState
 from kestreltrack.telemetry import Telemetry
 
-# Until the end of a message that found no room in the folder of the journal is recorded after all.
+# Delay before the completion of a message is written again after the journal folder was full.
 END_RECORD_RETRY_DELAY_S = 0.25
 
 
 class MessageResult(StrEnum):
-    """How a message ended for its sender, as the counters of the results by class name it."""
+    """The result of a message, as the `app.results.<class>.<result>` counters name it."""
 
     SUCCEEDED = "succeeded"
-    DECLINED = "declined"  # rejected, or handed back: it was not executed
-    ABORTED = "aborted"  # failed, or malformed; it may have been executed
+    DECLINED = "declined"  # rejected or handed back; it was not executed
+    ABORTED = "aborted"  # failed or invalid; a failed message may have been executed
 
 
 class EndReason(StrEnum):
-    """Why a message ended other than by the final result of an attempt, as log lines and counters name it."""
+    """Why a message ended without a final result of an attempt, as the `end` log event and counters name it."""
 
     WITHDRAWN = "withdrawn"
     REQUEUED = "requeued"
@@ -42,14 +42,14 @@
 
 
 def arrival_event(message: Message) -> MessageArrived:
-    """Return the event that announces a new message to the decision module."""
+    """Return the event that reports a new message to the decision module."""
     return MessageArrived(
         message.id, message.dest, message.cls, message.expires, message.ordering_key, message.tenant
     )
 
 
 class MessageLifecycle:
-    """Carries accepted messages to their ends; the decision module decides at each point of choice."""
+    """Delivers accepted messages as the decision module directs, and records how they ended."""
 
     def __init__(
         self,
@@ -60,7 +60,6 @@
         telemetry: Telemetry,
         shutdown: ShutdownState,
     ) -> None:
-        """Wire the parts together."""
         self.attempts = attempts
         self.settings = settings
         self.journal = journal
@@ -69,7 +68,7 @@
         self.shutdown = shutdown
 
     async def run_until_final(self, outstanding: OutstandingMessage, pending: PendingMessage) -> None:
-        """Bring a message to its end: delivered, withdrawn, or failed with a notification of its client."""
+        """Process a message until it is delivered or withdrawn, or the platform is notified of its end."""
         if outstanding.owed_notification is None:
             match await self._attempt_until_final(outstanding, pending):
                 case AttemptResult(outcome=outcome):
@@ -82,29 +81,30 @@
                     self.record_owed_notification(
                         outstanding, _notification(outstanding.message.id, decision)
                     )
-        pending.remove()  # the decision module is done with it; only the notification is left
+        pending.remove()  # the decision module has finished with the message; only the notification is left
         assert outstanding.owed_notification is not None
         await self._finish_by_notification(outstanding, outstanding.owed_notification)
 
     def record_owed_notification(
         self, outstanding: OutstandingMessage, notification: StatusNotification
     ) -> None:
-        """Record that the message has failed and that its sender is still to be notified of it."""
+        """Record that the message failed or is handed back, and that the platform has yet to be notified."""
         outstanding.owed_notification = notification
         try_write(self.telemetry, self.journal.record_owed_notification, notification)
 
     def count_result(self, message: Message, result: MessageResult) -> None:
-        """Count one result of the message's class for the operators' metrics."""
-        # A counter for each unknown name of a class would make the number of counters unbounded.
+        """Count a result by the class of the message."""
+        # Clients choose the class name: counting unknown ones would let the number of counters grow without bound.
         if message.cls in self.settings.classes:
             self.telemetry.count(f"app.results.{message.cls}.{result.value}")
 
     async def _attempt_until_final(
         self, outstanding: OutstandingMessage, pending: PendingMessage
     ) -> AttemptResult | RejectMessage | FailMessage | None:
-        """Carry out attempts until one is final or the decision module decides otherwise.
+        """Run attempts until one has a final result or the decision module ends the message.
 
-        Return the final result or decision, or `None` where the message was withdrawn.
+        Returns:
+            The final result or decision, or `None` if the message was withdrawn.
         """
         while True:
             decision = await pending.next_decision()
@@ -133,7 +133,7 @@
             await self._finish(outstanding, EndReason.GIVEN_UP)
 
     async def _finish(self, outstanding: OutstandingMessage, reason: str) -> None:
-        # Without a record of its end a message would stay outstanding for ever, and be sent again after a restart.
+        # Without a completion record the message would stay outstanding, and be sent again after a restart.
         while outstanding.message.id in self.journal.outstanding and not try_write(
             self.telemetry, self.journal.record_completed, outstanding
         ):
--- a/kestreltrack/sender/message_tasks.py
+++ b/kestreltrack/sender/message_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that carry messages, with one owner that records their faults and ends them."""
+"""Owns the background tasks of a `Core`, records their exceptions and cancels them at shutdown."""
 
 from __future__ import annotations
 
@@ -9,19 +9,18 @@
 
 
 class MessageTasks:
-    """Owns the background tasks of one `Core`.
+    """The background tasks of one `Core`.
 
-    An `asyncio.TaskGroup` does not fit: it cancels all tasks when one of them fails, and here a fault in the handling
-    of one message must not concern the others.
+    `asyncio.TaskGroup` is unsuitable: it cancels all tasks when one of them fails, while here an exception in the
+    processing of one message must not affect the others.
     """
 
     def __init__(self, telemetry: Telemetry) -> None:
-        """Start with no task."""
         self._telemetry = telemetry
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        """Run `coroutine` as a task whose fault is recorded in the log."""
+        """Run `coroutine` as a task; an exception that it raises is logged."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
--- a/kestreltrack/sender/recovery.py
+++ b/kestreltrack/sender/recovery.py
@@ -1,4 +1,4 @@
-"""Resumes messages that an earlier process accepted and left without an end."""
+"""Resumes messages that an earlier process accepted and left outstanding."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Recovery:
-    """Brings messages that the journal holds back into delivery, from where their records end."""
+    """Resumes the delivery of outstanding messages from their last record in the journal."""
 
     def __init__(
         self,
@@ -25,7 +25,6 @@
         tasks: MessageTasks,
         telemetry: Telemetry,
     ) -> None:
-        """Wire the parts together."""
         self.dispatcher = dispatcher
         self.settings = settings
         self.lifecycle = lifecycle
@@ -33,13 +32,13 @@
         self.telemetry = telemetry
 
     def recover(self, outstanding_messages: Iterable[OutstandingMessage]) -> None:
-        """Resume each of these messages in a task of its own, in the order given."""
+        """Resume each message in a task of its own, in the given order."""
         for outstanding in outstanding_messages:
             self.telemetry.count("delivery.recovered")
             self.tasks.start(self.resume(outstanding))
 
     async def resume(self, outstanding: OutstandingMessage) -> None:
-        """Carry one message from where the journal shows it to its end."""
+        """Process one message from its last record in the journal to its final result."""
         pending = PendingMessage(self.dispatcher, outstanding.message.id)
         pending.attempt_number = outstanding.attempts
         if outstanding.owed_notification is None and outstanding.message.cls not in self.settings.classes:
@@ -52,9 +51,9 @@
             pending.remove()
 
     def _fail_unknown_class(self, outstanding: OutstandingMessage) -> None:
-        """End a message whose class the settings no longer have.
+        """Fail or hand back a message whose class was removed from the settings.
 
-        How it may be delivered is unknown, and so is what a repeated execution would do.
+        Without the class it is unknown how the message may be delivered, and what a repeated execution would do.
         """
         self.telemetry.record_fault("delivery.unknown_class", cls=outstanding.message.cls)
         notification = StatusNotification(
@@ -64,7 +63,7 @@
 
 
 def _resumed_arrival_event(outstanding: OutstandingMessage) -> MessageArrived:
-    """Return the event that announces a message with the history that the journal has of it."""
+    """Return the event that reports a resumed message, with its history from the journal."""
     ambiguous = outstanding.first_ambiguous()
     return replace(
         arrival_event(outstanding.message),
--- a/kestreltrack/sender/retry_after_sharing.py
+++ b/kestreltrack/sender/retry_after_sharing.py
@@ -1,6 +1,6 @@
-"""Retry-After intervals, exchanged between the two processes of one sender during an upgrade.
+"""Exchanges Retry-After intervals between the two processes of one sender during an upgrade.
 
-A destination's Retry-After binds the sender, not the process that received it (docs/upgrade.md).
+The Retry-After of a destination applies to the sender, not only to the process that received it (docs/upgrade.md).
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 
 class RetryAfterSharing:
-    """Publishes the Retry-After intervals received here, and passes on those that the other process received."""
+    """Publishes the Retry-After intervals of this process, and receives those of the other process."""
 
     def __init__(self, dispatcher: Dispatcher, telemetry: Telemetry) -> None:
-        """Share nothing until `files` is set."""
+        """Start with sharing disabled; setting `files` enables it."""
         self.dispatcher = dispatcher
         self.telemetry = telemetry
         self.files: SharedRetryAfter | None = None
 
     def publish(self, dest: int, retry_after_ms: float) -> None:
-        """Record for the other process that `dest` asked for a pause that begins now."""
+        """Publish to the other process that `dest` requested a pause of `retry_after_ms` from now."""
         if self.files is None:
             return
         now_ms = self.dispatcher.clock()
@@ -31,7 +31,7 @@
             self.telemetry.record_fault("delivery.retry_after_not_persisted", error=str(error))
 
     def receive(self) -> None:
-        """Notify the decision module of what the other process has published since the last call."""
+        """Notify the decision module of the intervals that the other process published since the last call."""
         if self.files is None:
             return
         try:
--- a/kestreltrack/sender/shutdown_state.py
+++ b/kestreltrack/sender/shutdown_state.py
@@ -1,4 +1,4 @@
-"""How far the shutdown of one process has come, shared by the parts that start or retry work."""
+"""The shutdown state of the process, shared by the components that start or retry work."""
 
 from __future__ import annotations
 
@@ -8,19 +8,21 @@
 
 @dataclass(slots=True)
 class ShutdownState:
-    """Limits what may still begin: nothing is limited until `begin` or `abandon` is called."""
+    """Restricts what may still begin; there is no restriction until `begin` or `abandon` is called.
 
-    attempts_deadline_ms: float = math.inf
-    """On the clock of the dispatcher: no attempt begins at or after it."""
+    Attributes:
+        attempts_deadline_ms: No attempt begins at or after this time of the dispatcher's clock.
+        abandoned: Whether the deliveries were cancelled; the next process resumes the messages from the journal.
+    """
 
+    attempts_deadline_ms: float = math.inf
     abandoned: bool = False
-    """Whether this process has given its messages up to the next one, which reads them from the journal."""
 
     def begin(self, deadline_ms: float) -> None:
-        """Let no attempt begin from `deadline_ms` on: nobody would be left to receive its response."""
+        """Block attempts from `deadline_ms` on, because the process would not be there to receive the response."""
         self.attempts_deadline_ms = deadline_ms
 
     def abandon(self) -> None:
-        """Let no attempt begin and no message be accepted any more."""
+        """Block all further attempts and submissions."""
         self.abandoned = True
         self.attempts_deadline_ms = -math.inf
--- a/kestreltrack/sender/takeover.py
+++ b/kestreltrack/sender/takeover.py
@@ -1,4 +1,4 @@
-"""The part of an upgrade in which a new process takes over from the old one of the same sender (docs/upgrade.md)."""
+"""Takeover of outstanding messages from the old process of a sender during an upgrade (docs/upgrade.md)."""
 
 from __future__ import annotations
 
@@ -8,25 +8,24 @@
 from kestreltrack.sender.delivery import Core
 from kestreltrack.telemetry import Telemetry
 
-# Between the batches of a takeover: about as long as one takes, so that other tasks get half of the time.
+# Pause between two batches, about as long as one batch takes, so that other tasks get half of the time.
 BATCH_PAUSE_S = 0.005
-# Between checks whether the old process has released its slot: it ends within 3.7 s of its SIGTERM.
+# Interval of the checks whether the old process has released its slot; it exits within 3.7 s of its SIGTERM.
 SLOT_POLL_INTERVAL_S = 0.05
-# Between checks for Retry-After intervals of the other process: one costs a stat of a file.
+# Interval of the checks for Retry-After intervals of the other process; a check costs one stat call.
 RETRY_AFTER_POLL_INTERVAL_S = 0.1
 
 
 class Takeover:
-    """Takes over the messages of the old process, and follows its Retry-After intervals meanwhile."""
+    """Takes over the messages of the old process, and receives its Retry-After intervals."""
 
     def __init__(self, core: Core, journal: Journal, telemetry: Telemetry) -> None:
-        """Wire the parts together; nothing is started."""
         self.core = core
         self.journal = journal
         self.telemetry = telemetry
 
     async def take_over(self) -> None:
-        """Take over the messages of the old process as soon as it has ended."""
+        """Wait until the old process has exited, and take over its messages."""
         while self.journal.other_slots:
             await asyncio.sleep(SLOT_POLL_INTERVAL_S)
             for slot in list(self.journal.other_slots):
@@ -42,7 +41,8 @@
                 self.core.recover(batch)
                 message_count += len(batch)
                 await asyncio.sleep(BATCH_PAUSE_S)
-        except (OSError, JournalFullError) as error:  # the rest stays in the slot until the next check
+        except (OSError, JournalFullError) as error:
+            # The remaining messages stay in the slot until the next check.
             self.telemetry.record_fault(
                 "journal.takeover_failed", slot=slot, messages=message_count, error=str(error)
             )
@@ -50,9 +50,9 @@
             self.telemetry.log("taken_over", slot=slot, messages=message_count)
 
     async def follow_shared_retry_after(self) -> None:
-        """Receive the Retry-After intervals of the other process, for messages that wait in the queue.
+        """Receive the Retry-After intervals of the other process at regular intervals, for queued messages.
 
-        Each attempt checks for them once more before its first byte.
+        Attempts check for new ones themselves before their first byte.
         """
         while True:
             await asyncio.sleep(RETRY_AFTER_POLL_INTERVAL_S)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -11,7 +11,7 @@
 
 PROCESSES = {
     "test_against::test_what_is_no_version_is_told": "git",
-    "test_batch_delivery::test_on_the_real_process": "a sender that calls for several messages at once",
+    "test_batch_delivery::test_batch_delivery_by_a_real_process": "a sender that calls for several messages at once",
     "test_capture_restart::test_a_killed_sender_leaves_a_capture_that_replays": "a sender that is killed",
     "test_capture::test_a_sender_is_captured_and_replayed_by_commands": "the demo and the replay as commands",
     "test_cli": "commands, some of them ended by a signal",
--- a/tests/test_batch_delivery.py
+++ b/tests/test_batch_delivery.py
@@ -1,4 +1,4 @@
-"""Several messages in one request through a sender: the dispatcher, the journal, and the real process."""
+"""Batches, several messages in one request: the dispatcher, the journal, and a real sender process."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 IDS = ["m1", "m2", "m3"]
 
 
-def test_dispatcher_batches_what_one_decision_sends_to_one_endpoint() -> None:
+def test_dispatcher_batches_attempts_that_one_decision_starts_at_one_endpoint() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         dispatcher = Dispatcher(Policy(SETTINGS, 1), lambda: loop.time() * 1000.0, Telemetry())
@@ -40,10 +40,13 @@
             for n in range(3 + 4 * (dest == 1))
         }
         actions = [StartAttempt(id_, f"e{id_[0]}", 1000.0) for id_ in pending_messages]
-        dispatcher.decider = type("Fixed", (), {"take": lambda *_: None, "decide": lambda *_: actions})()
+        dispatcher.decider = type(
+            "FixedDecider", (), {"handle": lambda *_: None, "decide": lambda *_: actions}
+        )()
         dispatcher.notify(TimerExpired(0))
         await dispatcher.wait_for_decision()
-        first, second = pending_messages["1.0"].batch_call, pending_messages["1.5"].batch_call
+        first = pending_messages["1.0"].batch_call
+        second = pending_messages["1.5"].batch_call
         assert first and second and first is not second
         assert [pending_messages[f"1.{n}"].batch_call for n in range(7)] == [first] * 5 + [second] * 2
         assert not any(pending.batch_call for id_, pending in pending_messages.items() if id_[0] == "2")
@@ -56,11 +59,12 @@
     return journal, [journal.record_accepted(Message(id_, "unsafe", 1, 1e15, b"x" * 100)) for id_ in IDS]
 
 
-def test_attempts_of_a_request_are_recorded_in_one_write(
+def test_attempts_of_a_batch_are_recorded_in_one_write(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal, outstanding = journal_with_messages(tmp_path)
-    writes, write = list[bytes](), os.write
+    writes = list[bytes]()
+    write = os.write
 
     def recording_write(fd: int, data: bytes) -> int:
         writes.append(data)
@@ -76,24 +80,24 @@
     )
 
 
-def test_full_folder_records_no_attempt_of_a_request(tmp_path: Path) -> None:
+def test_full_journal_records_no_attempt_of_a_batch(tmp_path: Path) -> None:
     journal, outstanding = journal_with_messages(tmp_path)
-    journal.max_file_bytes = journal.file_bytes + 150  # room for one
+    journal.max_file_bytes = journal.file_bytes + 150  # room for a single attempt
     with pytest.raises(JournalFullError):
         journal.record_attempt(outstanding[0], 5.0, "a", *outstanding[1:])
     assert all(message.attempts == 0 and message.in_flight is None for message in outstanding)
 
 
 class RecordingPolicy(Policy):
-    """Records the events that it receives."""
+    """Records the events that it handles."""
 
     def handle(self, now: float, event: Event) -> None:
         self.events = [*getattr(self, "events", []), event]
         super().handle(now, event)
 
 
-class EndedTransport:
-    """A transport whose attempts end without a first byte."""
+class FixedResultTransport:
+    """Returns a fixed result for each attempt, without beginning it."""
 
     def __init__(self, result: AttemptResult) -> None:
         self.result = result
@@ -105,11 +109,14 @@
         pass
 
 
-def test_retry_after_binds_also_where_nothing_was_sent(tmp_path: Path) -> None:
-    # A response with 200 may say of every message that its lifecycle is over, and have a Retry-After.
+def test_retry_after_applies_although_the_attempt_was_not_sent(tmp_path: Path) -> None:
+    # A 200 response to a batch may carry a Retry-After and say that the lifecycle of every message is over.
     async def scenario() -> None:
-        loop, (journal, outstanding) = asyncio.get_running_loop(), journal_with_messages(tmp_path)
-        policy, endpoint_list, telemetry = RecordingPolicy(SETTINGS, 1), EndpointList(), Telemetry()
+        loop = asyncio.get_running_loop()
+        journal, outstanding = journal_with_messages(tmp_path)
+        policy = RecordingPolicy(SETTINGS, 1)
+        endpoint_list = EndpointList()
+        telemetry = Telemetry()
         endpoint_list.apply(EndpointListUpdate(1, True, (ListedEndpoint("e1", "127.0.0.1:1", 1, "batch"),)))
         dispatcher = Dispatcher(policy, lambda: loop.time() * 1000.0, telemetry)
         core = Core(
@@ -117,7 +124,7 @@
             SETTINGS,
             journal,
             endpoint_list,
-            EndedTransport(AttemptResult(Outcome.NOT_SENT, True, 5000.0)),
+            FixedResultTransport(AttemptResult(Outcome.NOT_SENT, True, 5000.0)),
             HttpNotifier("127.0.0.1:1", telemetry),
             telemetry,
         )
@@ -130,7 +137,7 @@
     asyncio.run(scenario())
 
 
-# The real process --------------------------------------------------------------------------------
+# A real sender process ---------------------------------------------------------------------------
 
 SETUP = """
     s1 send SUBMIT m1 c=keyed,d=20000,k=1,dest=2
@@ -172,5 +179,5 @@
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_on_the_real_process(tmp_path: Path, name: str) -> None:
+def test_batch_delivery_by_a_real_process(tmp_path: Path, name: str) -> None:
     play(tmp_path, SETUP + SCENARIOS[name], domain__slots=1, domain__bundleMax=[5])
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher passes each event on at once, and has the decision module decide about several together."""
+"""The dispatcher passes on each event at once, and the decision module decides about several events together."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CountingPolicy(Policy):
-    """Counts its decisions; fails on request."""
+    """Counts its decisions, and raises an exception instead while `fails` is set."""
 
     decisions = 0
     fails = False
@@ -21,7 +21,7 @@
     def decide(self, now: float) -> Sequence[Action]:
         self.decisions += 1
         if self.fails:
-            raise ValueError("on request")
+            raise ValueError("requested by the test")
         return super().decide(now)
 
 
@@ -41,13 +41,13 @@
     return MessageArrived(message_id, 1, "safe", dispatcher.clock() + 10_000.0)
 
 
-def test_events_of_one_moment_take_one_decision() -> None:
+def test_simultaneous_events_share_one_decision() -> None:
     async def scenario(dispatcher: Dispatcher, policy: CountingPolicy) -> None:
         before = policy.decisions
         pending_messages = [PendingMessage(dispatcher, f"m{i}") for i in range(4)]
         for i in range(4):
             dispatcher.notify(arrival(dispatcher, f"m{i}"))
-        assert len(policy.messages) == 4, "passed on at once"
+        assert len(policy.messages) == 4, "each event is handled at once"
         await dispatcher.wait_for_decision()
         assert policy.decisions == before + 1
         assert all([isinstance(await pending.next_decision(), StartAttempt) for pending in pending_messages])
@@ -55,7 +55,7 @@
     run_with_dispatcher(scenario)
 
 
-def test_a_decision_that_fails_is_made_again() -> None:
+def test_failed_decision_is_retried() -> None:
     async def scenario(dispatcher: Dispatcher, policy: CountingPolicy) -> None:
         policy.fails = True
         pending = PendingMessage(dispatcher, "m1")
@@ -68,7 +68,7 @@
     run_with_dispatcher(scenario)
 
 
-def test_a_withdrawn_message_takes_no_decision() -> None:
+def test_withdrawn_message_receives_no_decision() -> None:
     async def scenario(dispatcher: Dispatcher, policy: CountingPolicy) -> None:
         pending = PendingMessage(dispatcher, "m1")
         dispatcher.notify(arrival(dispatcher, "m1"))
--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -12,7 +12,7 @@
 import pytest
 from scenario import SETTINGS as FILE_SETTINGS
 from test_journal import opened
-from test_shutdown import play, until
+from test_shutdown import run_with_timeout, wait_until
 
 from kestreltrack.config.sender import ConfigError, load_sender_config
 from kestreltrack.ports import Message
@@ -90,14 +90,14 @@
         assert not recovered
         server.close()
 
-    play(story())
+    run_with_timeout(story())
 
 
 def test_error_names_a_state_folder_that_cannot_be_written(tmp_path: Path) -> None:
     env = environment(tmp_path)
     (tmp_path / "state" / "journal.lock").mkdir()
     with pytest.raises(ConfigError, match=r"GW_STATE: .*journal\.lock"):
-        play(daemon.serve(env))
+        run_with_timeout(daemon.serve(env))
 
 
 def test_reload_of_invalid_settings_changes_nothing_and_a_later_reload_works(
@@ -129,19 +129,19 @@
         for n, bad in enumerate(invalid_texts, 1):
             path.write_text(bad)
             hangup.set()
-            await until(lambda n=n: telemetry.counters["config.reload_rejected"] == n)  # type: ignore[misc]
+            await wait_until(lambda n=n: telemetry.counters["config.reload_rejected"] == n)  # type: ignore[misc]
         path.write_text(text)
         with monkeypatch.context() as patch:
             patch.setattr(daemon, "load_sender_config", lambda env, reload: 1 / 0)  # a fault of the program
             hangup.set()
-            await until(lambda: telemetry.counters["config.reload_fault"])
+            await wait_until(lambda: telemetry.counters["config.reload_fault"])
         assert not addresses
         hangup.set()
-        await until(lambda: addresses)
+        await wait_until(lambda: addresses)
         assert addresses == ["127.0.0.1:2"]
         task.cancel()
 
-    play(story())
+    run_with_timeout(story())
 
 
 @pytest.mark.parametrize("late", [signal.SIGUSR1, signal.SIGHUP], ids=["SIGUSR1", "SIGHUP"])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,10 +1,10 @@
-"""Events that cross the end of a process: what was read is recorded, and no attempt begins that nobody waits for."""
+"""Races between shutdown and other events, and what the next process does with the messages left outstanding."""
 
 from __future__ import annotations
 
 import asyncio
 import os
-from collections.abc import Callable, Generator
+from collections.abc import Callable, Coroutine, Generator
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -12,8 +12,8 @@
 import pytest
 from conftest import SETTINGS
 from test_adoption import left_behind
+from test_ambiguous_attempts import AcceptingNotifier, Clock
 from test_journal import opened
-from test_windows import Board, Clock
 
 from kestreltrack.decision import KindSettings, Outcome, Policy, Settings
 from kestreltrack.discovery import EndpointList
@@ -37,16 +37,16 @@
 from kestreltrack.sender.takeover import Takeover
 from kestreltrack.telemetry import Telemetry
 
-# Turns of the loop between an event and the other one that it crosses.
-TURNS = range(8)
+# Iterations of the event loop between an event and the shutdown that it races with.
+LOOP_ITERATIONS = range(8)
 
 
 class ControlledTransport:
-    """Connects and answers when the test says so; counts attempts that were written, blocked and delivered."""
+    """Connects and responds on request of the test; counts attempts that were written, blocked and delivered."""
 
     def __init__(self) -> None:
         self.connected = asyncio.Event()
-        self.answer = asyncio.get_running_loop().create_future()
+        self.response = asyncio.get_running_loop().create_future()
         self.written = 0
         self.blocked = 0
         self.delivered = 0
@@ -58,7 +58,7 @@
                 self.blocked += 1
                 return AttemptResult(Outcome.NOT_SENT)
             self.written += 1
-            await self.answer
+            await self.response
         except asyncio.CancelledError:
             return AttemptResult(Outcome.CANCELLED)
         self.delivered += 1
@@ -68,8 +68,8 @@
         """Do nothing: no connection is idle."""
 
 
-class RecordingNotifier(Board):
-    """Accepts every notification, and records it."""
+class RecordingNotifier(AcceptingNotifier):
+    """Accepts and records every notification."""
 
     def __init__(self) -> None:
         self.notifications: list[StatusNotification] = []
@@ -78,7 +78,7 @@
         self.notifications.append(notification)
 
 
-def core_on(folder: Path, transport: Any = None, settings: Settings = SETTINGS) -> Core:
+def create_core(folder: Path, transport: Any = None, settings: Settings = SETTINGS) -> Core:
     telemetry = Telemetry()
     dispatcher = Dispatcher(Policy(settings, 1), Clock(), telemetry)
     core = Core(
@@ -104,40 +104,42 @@
     return Message(message_id, cls, 1, expires, b"x", None, key, "k")
 
 
-async def turns(count: int) -> None:
+async def run_loop_iterations(count: int) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def until(holds: Callable[[], object]) -> None:
-    while not holds():
+async def wait_until(condition: Callable[[], object]) -> None:
+    while not condition():
         await asyncio.sleep(0.001)
 
 
-def play(story: Any) -> None:
-    asyncio.run(asyncio.wait_for(story, 20.0))
+def run_with_timeout(scenario: Any) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 20.0))
 
 
-# Events that cross the end of the process --------------------------------------------------------
+# Races with the end of the process ---------------------------------------------------------------
 
 
-@pytest.mark.parametrize("crossing", TURNS)
-def test_delivery_whose_answer_was_read_before_the_end_is_not_resumed(tmp_path: Path, crossing: int) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("iterations", LOOP_ITERATIONS)
+def test_delivery_with_a_response_read_before_shutdown_is_not_resumed(
+    tmp_path: Path, iterations: int
+) -> None:
+    async def scenario() -> None:
         transport = ControlledTransport()
-        core = core_on(tmp_path, transport)
+        core = create_core(tmp_path, transport)
         transport.connected.set()
         await core.submit(message())
-        await until(lambda: transport.written)
-        transport.answer.set_result(None)
-        await turns(crossing)
+        await wait_until(lambda: transport.written)
+        transport.response.set_result(None)
+        await run_loop_iterations(iterations)
         await core.abandon()
         core.journal.close()
         outstanding = opened(tmp_path).outstanding
         assert bool(outstanding) == (not transport.delivered)
-        assert crossing == 0 or not outstanding, "from the next turn on the answer has been read"
+        assert iterations == 0 or not outstanding, "the response is read in the next iteration of the loop"
 
-    play(story())
+    run_with_timeout(scenario())
 
 
 @pytest.mark.parametrize(
@@ -145,168 +147,171 @@
     [b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"],
     ids=["line", "head"],
 )
-def test_delivery_is_recorded_with_the_first_line_of_its_answer(tmp_path: Path, received: bytes) -> None:
-    """A message is delivered once the first line of a 200 is written; a kill at any time after it changes nothing.
+def test_delivery_is_recorded_at_the_status_line_of_its_response(tmp_path: Path, received: bytes) -> None:
+    """A message counts as delivered once the status line of a 200 has arrived, even if the process is then killed.
 
-    The end was recorded when the answer was complete, or given up after 1 s in its head and 0.25 s in its body.  A
-    process that was killed meanwhile left the message in doubt: the next one told the caller of a failure, or sent it
-    again.  The soak found it: seed 3 of 6 s, the line at 4.383 s, SIGKILL at 4.876 s, `given_up` at 6.455 s.
+    It was recorded only when the response was complete, or had timed out after 1 s in its head or 0.25 s in its body.
+    If the process was killed meanwhile, the message stayed ambiguous, and the next process reported a failure or sent
+    it again.  Found by the soak, seed 3 of 6 s: status line at 4.383 s, SIGKILL at 4.876 s, `given_up` at 6.455 s.
     """
 
-    async def story() -> None:
-        answered = asyncio.Event()
+    async def scenario() -> None:
+        responded = asyncio.Event()
         released = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(received)
-            answered.set()
+            responded.set()
             await released.wait()
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         transport = HttpTransport(ConnectionPool(60.0, 5.0, 8, Telemetry()), Telemetry())
-        core = core_on(tmp_path, transport)
+        core = create_core(tmp_path, transport)
         host, port = server.sockets[0].getsockname()
         endpoint = ListedEndpoint("n1", f"{host}:{port}", 1, "plain", rate=50.0)
         core.dispatcher.notify(core.endpoint_list.apply(EndpointListUpdate(2, True, (endpoint,))))
         await core.submit(message())
-        await answered.wait()
-        await until(lambda: not core.journal.outstanding)
+        await responded.wait()
+        await wait_until(lambda: not core.journal.outstanding)
         pending = core.dispatcher.pending_messages["m1"]
-        assert pending.attempt_task and not pending.attempt_task.done(), "the rest has not come"
-        assert not opened(tmp_path).outstanding, "a process that begins now finds nothing to do"
+        assert pending.attempt_task and not pending.attempt_task.done(), (
+            "the rest of the response is still missing"
+        )
+        assert not opened(tmp_path).outstanding, "a process that starts now has nothing to resume"
         released.set()
-        await until(lambda: not core.dispatcher.pending_messages)
+        await wait_until(lambda: not core.dispatcher.pending_messages)
         assert core.telemetry.counters["delivery.ended.ok"] == 1
         await core.abandon()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("crossing", TURNS)
-def test_attempt_that_connects_at_the_end_is_written_and_recorded_or_neither(
-    tmp_path: Path, crossing: int
+@pytest.mark.parametrize("iterations", LOOP_ITERATIONS)
+def test_attempt_that_connects_during_shutdown_is_both_sent_and_recorded_or_neither(
+    tmp_path: Path, iterations: int
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         transport = ControlledTransport()
-        core = core_on(tmp_path, transport)
+        core = create_core(tmp_path, transport)
         await core.submit(message(cls="unsafe"))
-        await until(
+        await wait_until(
             lambda: any(pending.attempt_task for pending in core.dispatcher.pending_messages.values())
         )
-        await turns(3)
+        await run_loop_iterations(3)
         transport.connected.set()
-        await turns(crossing)
+        await run_loop_iterations(iterations)
         await core.abandon()
         core.journal.close()
         before = transport.written
-        await turns(20)
-        assert transport.written == before, "nothing begins after the end"
+        await run_loop_iterations(20)
+        assert transport.written == before, "no attempt begins after the shutdown"
         assert opened(tmp_path).outstanding["m1"].attempts == transport.written
 
-    play(story())
+    run_with_timeout(scenario())
 
 
-def test_no_attempt_begins_after_the_deadline_of_the_shutdown(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_no_attempt_begins_after_the_shutdown_deadline(tmp_path: Path) -> None:
+    async def scenario() -> None:
         transport = ControlledTransport()
-        core = core_on(tmp_path, transport)
+        core = create_core(tmp_path, transport)
         await core.submit(message(cls="unsafe"))
-        await until(
+        await wait_until(
             lambda: any(pending.attempt_task for pending in core.dispatcher.pending_messages.values())
         )
         core.start_shutdown(core.dispatcher.clock() + 3300.0)
         Clock.now += 3300.0
         transport.connected.set()
-        await until(lambda: transport.blocked)
+        await wait_until(lambda: transport.blocked)
         assert not core.journal.outstanding["m1"].attempts and not transport.written
         await core.abandon()
 
     try:
-        play(story())
+        run_with_timeout(scenario())
     finally:
         Clock.now = 1_000_000.0
 
 
-@pytest.mark.parametrize("crossing", range(12))
-@pytest.mark.parametrize("wait_s", [0.0, 0.006])  # the module decides at once, or at the end of its period
-def test_message_that_crosses_the_end_is_accepted_exactly_where_it_is_recorded(
-    tmp_path: Path, crossing: int, wait_s: float
+@pytest.mark.parametrize("iterations", range(12))
+# The decision is made at once, or after the minimum interval.
+@pytest.mark.parametrize("wait_s", [0.0, 0.006])
+def test_message_submitted_during_shutdown_is_accepted_exactly_if_it_is_recorded(
+    tmp_path: Path, iterations: int, wait_s: float
 ) -> None:
-    async def story() -> None:
-        core = core_on(tmp_path)
+    async def scenario() -> None:
+        core = create_core(tmp_path)
         await asyncio.sleep(0.01)
         task = asyncio.create_task(core.submit(message()))
-        await turns(crossing)
-        await asyncio.sleep(wait_s * (crossing % 2))
+        await run_loop_iterations(iterations)
+        await asyncio.sleep(wait_s * (iterations % 2))
         await core.abandon()
-        late = await core.submit(message("late"))
-        answer: SubmitResult = await task
+        late_result = await core.submit(message("late"))
+        result: SubmitResult = await task
         core.journal.close()
         outstanding = opened(tmp_path).outstanding
-        assert late == Rejected() and "late" not in outstanding
-        assert answer == (Accepted() if "m1" in outstanding else Rejected())
+        assert late_result == Rejected() and "late" not in outstanding
+        assert result == (Accepted() if "m1" in outstanding else Rejected())
 
-    play(story())
+    run_with_timeout(scenario())
 
 
 def test_no_decision_is_made_while_the_last_attempt_ends_slowly(tmp_path: Path) -> None:
     class SlowTransport(ControlledTransport):
         async def send(self, attempt: Attempt) -> AttemptResult:
             result = await super().send(attempt)
-            await asyncio.sleep(0.02)  # longer than the module's period
+            await asyncio.sleep(0.02)  # longer than the minimum interval between decisions
             return result
 
-    async def story() -> None:
-        core = core_on(tmp_path, SlowTransport())
+    async def scenario() -> None:
+        core = create_core(tmp_path, SlowTransport())
         await core.submit(message())
-        await until(
+        await wait_until(
             lambda: any(pending.attempt_task for pending in core.dispatcher.pending_messages.values())
         )
-        await turns(2)
+        await run_loop_iterations(2)
         task = asyncio.create_task(core.submit(message("m2")))
-        await turns(2)
+        await run_loop_iterations(2)
         await core.abandon()
         assert await task == Rejected()
         assert not [name for name in core.telemetry.counters if "invariant" in name]
 
-    play(story())
+    run_with_timeout(scenario())
 
 
-@pytest.mark.parametrize("fails", [1, 10**9])
-def test_end_without_room_in_the_journal_is_recorded_later(
-    tmp_path: Path, fails: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("failure_count", [1, 10**9])
+def test_completion_is_recorded_later_when_the_journal_is_full(
+    tmp_path: Path, failure_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("kestreltrack.sender.message_lifecycle.END_RECORD_RETRY_DELAY_S", 0.001)
         transport = ControlledTransport()
-        core = core_on(tmp_path, transport)
+        core = create_core(tmp_path, transport)
         failed = list[OutstandingMessage]()
         write = core.journal.record_completed
 
-        def full(outstanding: OutstandingMessage) -> None:
-            if len(failed) < fails:
+        def fail_when_full(outstanding: OutstandingMessage) -> None:
+            if len(failed) < failure_count:
                 failed.append(outstanding)
                 raise JournalFullError("no space left on device")
             write(outstanding)
 
-        core.journal.record_completed = full  # type: ignore[method-assign]
+        core.journal.record_completed = fail_when_full  # type: ignore[method-assign]
         transport.connected.set()
-        transport.answer.set_result(None)
+        transport.response.set_result(None)
         await core.submit(message())
-        await until(lambda: failed)
-        if fails == 1:
-            await until(lambda: not core.journal.outstanding)
-        await core.abandon()  # which waits for no room
+        await wait_until(lambda: failed)
+        if failure_count == 1:
+            await wait_until(lambda: not core.journal.outstanding)
+        await core.abandon()  # does not wait until the journal has room
         core.journal.close()
-        assert bool(opened(tmp_path).outstanding) == (fails > 1)
+        assert bool(opened(tmp_path).outstanding) == (failure_count > 1)
 
-    play(story())
+    run_with_timeout(scenario())
 
 
-def test_record_after_close_goes_to_no_file_that_reuses_the_descriptor(tmp_path: Path) -> None:
+def test_write_after_close_does_not_reach_a_file_that_reuses_the_descriptor(tmp_path: Path) -> None:
     journal = opened(tmp_path)
     outstanding = journal.record_accepted(message())
     journal.close()
@@ -326,39 +331,39 @@
 def test_message_of_a_class_that_was_removed_from_the_settings_is_ended(
     tmp_path: Path, began: bool, requeue: bool
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         before = opened(tmp_path)
         outstanding = before.record_accepted(message(cls="gone"))
         if began:
             before.record_attempt(outstanding, 999_000.0, "a")
         before.close()
-        core = core_on(tmp_path)
+        core = create_core(tmp_path)
         core.recover()
-        await until(lambda: not core.journal.outstanding)
-        # A message that may have been executed is never handed back for another attempt.
+        await wait_until(lambda: not core.journal.outstanding)
+        # A message that may have been executed must not be handed back for another attempt.
         assert core.notifier.notifications == [StatusNotification("m1", requeue)]  # type: ignore[attr-defined]
         assert not core.telemetry.counters["decision.fault"] and not core.telemetry.counters["delivery.fault"]
         await core.abandon()
 
-    play(story())
+    run_with_timeout(scenario())
 
 
 def test_deduplication_window_that_began_before_the_clock_was_set_back_counts_as_expired(
     tmp_path: Path,
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         transport = ControlledTransport()
         before = opened(tmp_path)
         before.record_attempt(before.record_accepted(message(cls="keyed")), Clock.now + 600_000.0, "a")
         before.close()
-        core = core_on(tmp_path, transport)
+        core = create_core(tmp_path, transport)
         transport.connected.set()
         core.recover()
-        await until(lambda: transport.blocked)
+        await wait_until(lambda: transport.blocked)
         assert not transport.written
         await core.abandon()
 
-    play(story())
+    run_with_timeout(scenario())
 
 
 def test_messages_are_recovered_by_expiry_and_those_of_one_ordering_key_in_order(tmp_path: Path) -> None:
@@ -376,21 +381,26 @@
     expected = ["e", "b", "d", "c", "a", "f"]
     assert [outstanding.message.id for outstanding in sorted_by_expiry(old.outstanding.values())] == expected
 
-    async def story() -> None:
-        core = core_on(tmp_path / "none")
-        asked = list[str]()
-        core.recovery.resume = lambda outstanding: asked.append(outstanding.message.id) or asyncio.sleep(0)  # type: ignore[method-assign,func-returns-value]
+    async def scenario() -> None:
+        core = create_core(tmp_path / "none")
+        resumed_ids = list[str]()
+
+        def record_resumed(outstanding: OutstandingMessage) -> Coroutine[Any, Any, None]:
+            resumed_ids.append(outstanding.message.id)
+            return asyncio.sleep(0)
+
+        core.recovery.resume = record_resumed  # type: ignore[method-assign]
         core.recover(None)
         core.journal.outstanding.update(old.outstanding)
         core.recover()
-        assert asked == expected
+        assert resumed_ids == expected
 
     (tmp_path / "none").mkdir()
-    play(story())
+    run_with_timeout(scenario())
     new = opened(tmp_path)
     old.close()
     assert [
-        outstanding.message.id for part in new.take_over("journal") or () for outstanding in part
+        outstanding.message.id for batch in new.take_over("journal") or () for outstanding in batch
     ] == expected
 
 
@@ -405,53 +415,53 @@
     while not next(takeover):
         pass
     takeover.close()
-    new.close()  # the other file is left in its reverse order
+    new.close()  # the crash leaves the rest in the other file, in reverse order
     (tmp_path / "journal.1").unlink()
     assert list(opened(tmp_path).outstanding) == [f"m{n}" for n in range(25, 60)]
 
 
-def test_first_ambiguous_attempt_is_kept_over_several_restarts(tmp_path: Path) -> None:
+def test_first_ambiguous_attempt_is_kept_across_restarts(tmp_path: Path) -> None:
     settings = replace(SETTINGS, max_attempts=50)
 
     async def run_process(now_ms: float) -> None:
         transport = ControlledTransport()
-        core = core_on(tmp_path, transport, settings)
+        core = create_core(tmp_path, transport, settings)
         transport.connected.set()
         core.recover()
         Clock.now = now_ms
         if not core.journal.outstanding:
             await core.submit(message(cls="keyed"))
-        await until(lambda: transport.written)
+        await wait_until(lambda: transport.written)
         assert core.journal.outstanding["m1"].first_ambiguous() == AttemptStart(1_000_000.0, "")
         await core.abandon()
         core.journal.close()
 
     try:
         for n in range(4):
-            play(run_process(1_000_000.0 + 100.0 * n))
+            run_with_timeout(run_process(1_000_000.0 + 100.0 * n))
     finally:
         Clock.now = 1_000_000.0
 
 
-@pytest.mark.parametrize("slices", range(0, 7))
-def test_shutdown_during_a_takeover_leaves_each_message_in_one_file(tmp_path: Path, slices: int) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("batch_count", range(0, 7))
+def test_shutdown_during_a_takeover_leaves_each_message_in_one_file(tmp_path: Path, batch_count: int) -> None:
+    async def scenario() -> None:
         new = left_behind(tmp_path, 80)
         dispatcher = Dispatcher(Policy(SETTINGS, 1), Clock(), Telemetry())
         core = Core(
             dispatcher, SETTINGS, new, EndpointList(), ControlledTransport(), RecordingNotifier(), Telemetry()
         )
-        seen = list[int]()
-        real = new.take_over
+        batch_sizes = list[int]()
+        original_take_over = new.take_over
 
-        def counted(slot: str) -> Any:
-            for part in real(slot) or ():
-                seen.append(len(part))
-                yield part
+        def counting_take_over(slot: str) -> Any:
+            for batch in original_take_over(slot) or ():
+                batch_sizes.append(len(batch))
+                yield batch
 
-        new.take_over = counted  # type: ignore[method-assign]
+        new.take_over = counting_take_over  # type: ignore[method-assign]
         task = asyncio.create_task(Takeover(core, new, Telemetry()).take_over())
-        await until(lambda: len(seen) >= slices)
+        await wait_until(lambda: len(batch_sizes) >= batch_count)
         task.cancel()
         await core.abandon()
         new.close()
@@ -459,45 +469,45 @@
         del task
         assert set(opened(tmp_path, 3_000_000).outstanding) == {f"m{n}" for n in range(80)}
 
-    play(story())
+    run_with_timeout(scenario())
 
 
 def test_recovered_messages_count_against_the_queue_capacity_before_new_ones(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         transport = ControlledTransport()
         before = opened(tmp_path)
         for n in range(3):
             before.record_accepted(message(f"m{n}", "unsafe"))
         before.close()
-        core = core_on(tmp_path, transport, replace(SETTINGS, queue_capacity=3))
+        core = create_core(tmp_path, transport, replace(SETTINGS, queue_capacity=3))
         transport.connected.set()
         core.recover()
         assert await core.submit(message("new")) == Rejected()
-        await until(lambda: transport.written)
+        await wait_until(lambda: transport.written)
         await core.abandon()
 
-    play(story())
+    run_with_timeout(scenario())
 
 
-@pytest.mark.parametrize("crossing", TURNS)
-def test_batch_call_in_flight_at_the_end_delays_nobody_and_stays_ambiguous(
-    tmp_path: Path, crossing: int
+@pytest.mark.parametrize("iterations", LOOP_ITERATIONS)
+def test_batch_call_in_flight_does_not_delay_shutdown_and_stays_ambiguous(
+    tmp_path: Path, iterations: int
 ) -> None:
     settings = replace(SETTINGS, kinds={"plain": KindSettings(max_batch_size=5)})
 
-    async def story() -> None:
+    async def scenario() -> None:
         request_received = asyncio.Event()
 
-        async def never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             request_received.set()
             await reader.read()
             writer.close()
 
-        server = await asyncio.start_server(never_answer, "127.0.0.1", 0)
+        server = await asyncio.start_server(never_respond, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         transport = BatchTransport(ConnectionPool(5.0, 1.0, 10, Telemetry()), Telemetry())
-        core = core_on(tmp_path, transport, settings)
+        core = create_core(tmp_path, transport, settings)
         core.dispatcher.max_batch_size = lambda uid: 5
         core.dispatcher.notify(
             core.endpoint_list.apply(
@@ -505,8 +515,8 @@
             )
         )
         await asyncio.gather(*(core.submit(message(f"m{n}", "unsafe")) for n in range(3)))
-        await turns(crossing)
-        await (request_received.wait() if crossing else asyncio.sleep(0))
+        await run_loop_iterations(iterations)
+        await (request_received.wait() if iterations else asyncio.sleep(0))
         await core.abandon()
         core.journal.close()
         outstanding_messages = opened(tmp_path).outstanding.values()
@@ -515,4 +525,4 @@
         } == {request_received.is_set()}
         server.close()
 
-    play(story())
+    run_with_timeout(scenario())
