--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -12,7 +12,7 @@
 import pytest
 from scenario import SETTINGS as FILE_SETTINGS
 from test_journal import open_journal
-from test_shutdown import play, until
+from test_shutdown import run_with_timeout, wait_until
 
 from kestreltrack.config.sender import ConfigError, load_sender_config
 from kestreltrack.ports import Message
@@ -91,14 +91,14 @@
         assert not recovered
         server.close()
 
-    play(start_on_a_used_address())
+    run_with_timeout(start_on_a_used_address())
 
 
 def test_the_error_names_the_file_of_the_state_folder_that_cannot_be_written(tmp_path: Path) -> None:
     env = environment(tmp_path)
     (tmp_path / "state" / "journal.lock").mkdir()
     with pytest.raises(ConfigError, match=r"GW_STATE: .*journal\.lock"):
-        play(daemon.serve(env))
+        run_with_timeout(daemon.serve(env))
 
 
 def test_reload_of_invalid_settings_changes_nothing_and_a_later_reload_works(
@@ -140,20 +140,20 @@
         for n, invalid_text in enumerate(invalid_texts, 1):
             path.write_text(invalid_text)
             reload_requested.set()
-            await until(lambda n=n: telemetry.counters["config.reload_rejected"] == n)  # type: ignore[misc]
+            await wait_until(lambda n=n: telemetry.counters["config.reload_rejected"] == n)  # type: ignore[misc]
         path.write_text(valid_text)
         with monkeypatch.context() as patch:
             # A bug in the reload itself.
             patch.setattr(daemon, "load_sender_config", lambda env, reload: 1 / 0)
             reload_requested.set()
-            await until(lambda: telemetry.counters["config.reload_fault"])
+            await wait_until(lambda: telemetry.counters["config.reload_fault"])
         assert not addresses
         reload_requested.set()
-        await until(lambda: addresses)
+        await wait_until(lambda: addresses)
         assert addresses == ["127.0.0.1:2"]
         task.cancel()
 
-    play(reload_invalid_then_valid_settings())
+    run_with_timeout(reload_invalid_then_valid_settings())
 
 
 @pytest.mark.parametrize("late_signal", [signal.SIGUSR1, signal.SIGHUP], ids=["SIGUSR1", "SIGHUP"])
