--- a/kestreltrack/discovery/etcd/__init__.py
+++ b/kestreltrack/discovery/etcd/__init__.py
@@ -1,6 +1,11 @@
-"""The endpoint list kept in etcd, as a directory of keys that is watched.
+"""An endpoint list that is stored in etcd as keys under a prefix, which senders watch.
 
-`layout` holds the form of keys and values, `watch_state` every decision about how to follow them (no I/O),
-`client` the connections, `source` the endpoint source, `registration` the senders' entries, and `admin` what
-operators do.  Design, alternatives and measurements: `docs/etcd.md`.
+- `layout`: the format of keys and values
+- `watch_state`: the state machine of the watch, without I/O; `watch_types` and `reconnection` belong to it
+- `client`: connections and calls to the members of the cluster
+- `source`: the endpoint source, which performs the steps of the state machine
+- `registration`, `seed_lookup` and `member_count`: the registrations of senders, written and read
+- `admin`: the operations of operators
+
+Design, alternatives and measurements: `docs/etcd.md`.
 """
--- a/kestreltrack/discovery/etcd/admin.py
+++ b/kestreltrack/discovery/etcd/admin.py
@@ -1,7 +1,7 @@
-"""What operators do to a directory in etcd: read, write, drain, import, and wait until all senders have applied it.
+"""Operators' access to a directory in etcd: reads, changes, imports, and waiting until all senders have applied one.
 
-Every change is a transaction that compares the revisions of what was read, so that two operators at the same time
-never undo each other's changes.
+Every change is a transaction that compares the revisions of the entries that were read, so that concurrent operators
+cannot overwrite each other's changes.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from kestreltrack.etcdapi import rpc_grpc as rpc
 from kestreltrack.etcdapi import rpc_pb2 as pb
 
-# Keys of one read.
+# Keys per range request.
 PAGE_SIZE = 1000
-# Attempts at a change that another operator's change crosses each time.
+# Attempts at a change before it fails, where each attempt conflicts with a concurrent change.
 MAX_ATTEMPTS = 5
-# Changes of one transaction: etcd's default limit is 128 operations.
+# etcd's default limit is 128 operations per transaction.
 MAX_CHANGES_PER_TRANSACTION = 100
-# Between two reads of the senders' registrations.
+# Interval between two reads of the senders' registrations.
 POLL_INTERVAL_S = 0.02
-# Failures after which a call is tried at the next member; with any other one, all members would answer the same.
+# Failures after which a call is retried at the next member; any other failure would be the same at all members.
 FAILOVER_REASONS = (FailureReason.UNREACHABLE, FailureReason.TIMEOUT, FailureReason.NO_LEADER)
 
 
@@ -39,10 +39,10 @@
 
     Attributes:
         uid: The endpoint's uid, from the key.
-        revision: The revision at which the entry was written last.
+        revision: The revision of the last write to the entry.
         value: The value of the key.
-        row: The decoded value with the uid; empty where it is malformed.
-        fault: Why the value is malformed; empty where it is not.
+        row: The decoded value with the uid added; empty if the value is malformed.
+        fault: Why the value is malformed; empty if it is valid.
     """
 
     uid: str
@@ -58,8 +58,8 @@
 
     Attributes:
         name: The sender's name.
-        revision: The newest revision that it has applied; -1 where the registration is malformed.
-        version: Its version.
+        revision: The newest revision that it has applied; -1 if the registration is malformed.
+        version: The version of its software.
     """
 
     name: str
@@ -68,14 +68,14 @@
 
 
 class DirectorySnapshot(NamedTuple):
-    """All entries, by uid, as they were at one revision."""
+    """All entries at one revision, ordered by uid."""
 
     revision: int
     entries: list[DirectoryEntry]
 
 
 class ImportProgress(NamedTuple):
-    """The state of an import after a transaction: changes made, changes in total, and the newest revision."""
+    """The progress of an import after a transaction: changes made, changes in total, and the newest revision."""
 
     changes_made: int
     changes_total: int
@@ -84,11 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryChange:
-    """A change of one entry, made only where the entry is still at the revision that was read.
+    """A change of one entry, which is made only if the entry is still at the revision that was read.
 
     Attributes:
         uid: The endpoint's uid.
-        expected_revision: The revision of the entry that was read; 0 where there was none.
+        expected_revision: The revision of the entry that was read; 0 if there was no entry.
         value: The new value; `None` to delete the entry.
     """
 
@@ -98,7 +98,7 @@
 
 
 def parse_entry(uid: str, key_value: pb.KeyValue) -> DirectoryEntry:
-    """Return the entry of a key; its `fault` is the one that a sender would log."""
+    """Decode the entry of a key; `fault` is the error that a sender would log."""
     try:
         decode_entry(uid, key_value.value)
     except EndpointFormatError as error:
@@ -108,14 +108,14 @@
 
 
 class EtcdDirectory:
-    """The directory behind one prefix.
+    """The directory under one prefix.
 
     Attributes:
-        client: The client, which the caller closes.
+        client: The client of the cluster, which the caller closes.
     """
 
     def __init__(self, client: EtcdClient, prefix: str, timeout_s: float = 2.0) -> None:
-        """Create the directory's accessor; it opens nothing before the first call.
+        """Create the directory; it connects at the first call.
 
         Args:
             client: The client of the cluster.
@@ -126,7 +126,7 @@
         self._timeout_s = timeout_s
         self._endpoints_prefix = endpoints_prefix(prefix).encode()
         self._senders_prefix = senders_prefix(prefix).encode()
-        # The member that answered last.
+        # The member to call: the one that answered the last call.
         self._member_index = 0
 
     # Reads ---------------------------------------------------------------------------------------
@@ -150,7 +150,7 @@
         return [self._parse_sender(kv) for kv in key_values]
 
     async def get(self, uid: str) -> DirectoryEntry | None:
-        """Return one entry, or `None` where there is none.
+        """Return one entry, or `None` if it does not exist.
 
         Raises:
             EtcdError: No member answered, or one rejected the read.
@@ -160,7 +160,10 @@
         return parse_entry(uid, response.kvs[0]) if response.kvs else None
 
     async def wait_until_applied(self, revision: int, timeout_s: float) -> list[RegisteredSender]:
-        """Wait until every registered sender has applied `revision`; return those that have not after `timeout_s`.
+        """Wait until every registered sender has applied `revision`.
+
+        Returns:
+            The senders that have not applied it after `timeout_s`; empty if all have.
 
         Raises:
             EtcdError: No member answered, or one rejected the read.
@@ -185,7 +188,7 @@
             return RegisteredSender(name, -1, "unreadable")
 
     async def _read_all(self, key_prefix: bytes) -> tuple[int, list[pb.KeyValue]]:
-        """Return all keys behind a prefix at one revision, and that revision."""
+        """Read all keys under a prefix page by page at one revision; return that revision and the keys."""
         revision = 0
         first_key = key_prefix
         key_values = list[pb.KeyValue]()
@@ -201,7 +204,7 @@
             first_key = response.kvs[-1].key + b"\0"
 
     async def _call(self, stub: Any, method: str, request: Any) -> Any:
-        """Call the member that answered last, or the next one that can be reached and has a leader."""
+        """Call the member that answered last; fail over to the next one if it is unreachable or has no leader."""
         last_error: EtcdError | None = None
         for _ in range(len(self.client)):
             try:
@@ -217,10 +220,10 @@
     # Changes -------------------------------------------------------------------------------------
 
     async def put(self, row: dict[str, Any]) -> int:
-        """Write one entry in the platform's form, whether or not it exists; return the new revision.
+        """Create or overwrite one entry, given in the platform's format; return the new revision.
 
         Raises:
-            DirectoryChangeError: The entry is malformed, or others change it all the time.
+            DirectoryChangeError: The entry is malformed, or every attempt conflicted with a concurrent change.
             EtcdError: No member answered, or one rejected the change.
         """
         uid, value = self._encoded(row, "")
@@ -231,17 +234,18 @@
         return await self._change_entry(uid, overwrite)
 
     async def set_state(self, uid: str, state: str) -> int:
-        """Set the state of an entry; return the revision from which it is in force.
+        """Set the state of an entry; return the revision from which it is in effect.
 
         Raises:
-            DirectoryChangeError: There is no such entry, it is malformed, or others change it all the time.
+            DirectoryChangeError: The entry does not exist or is malformed, or every attempt conflicted with a
+                concurrent change.
             EtcdError: No member answered, or one rejected the change.
         """
 
         def replace_state(current: DirectoryEntry | None) -> EntryChange | None:
-            entry = _existing(uid, current)
+            entry = _require_entry(uid, current)
             if entry.fault:
-                raise DirectoryChangeError(f"{uid}: its entry cannot be read: {entry.fault}")
+                raise DirectoryChangeError(f"{uid}: the stored entry cannot be read: {entry.fault}")
             if entry.row["state"] == state:
                 return None
             return EntryChange(uid, entry.revision, encode_entry({**entry.row, "state": state}))
@@ -252,40 +256,40 @@
         """Delete an entry; return the new revision.
 
         Raises:
-            DirectoryChangeError: There is no such entry, or others change it all the time.
+            DirectoryChangeError: The entry does not exist, or every attempt conflicted with a concurrent change.
             EtcdError: No member answered, or one rejected the change.
         """
 
         def delete(current: DirectoryEntry | None) -> EntryChange:
-            return EntryChange(uid, _existing(uid, current).revision, None)
+            return EntryChange(uid, _require_entry(uid, current).revision, None)
 
         return await self._change_entry(uid, delete)
 
     async def import_entries(
         self, rows: Iterable[dict[str, Any]], prune: bool
     ) -> AsyncIterator[ImportProgress]:
-        """Import entries in the platform's form: write those that differ; yield the progress after each transaction.
+        """Write the entries that differ from the stored ones; yield the progress after each transaction.
 
-        Nothing is written where one entry is malformed.  A transaction that another operator's change crosses ends
-        the import; the transactions before it stay in force.
+        Nothing is written if any entry is malformed.  A transaction that conflicts with a concurrent change ends the
+        import; earlier transactions are not rolled back.
 
         Args:
-            rows: The entries; those in the state `removed` count as left out.
-            prune: Whether to delete the entries that `rows` leaves out.
+            rows: The entries in the platform's format; those in the state `removed` count as absent.
+            prune: Whether to delete stored entries that are absent from `rows`.
 
         Raises:
-            DirectoryChangeError: An entry is malformed, or was changed by others during the import.
+            DirectoryChangeError: An entry is malformed, or was changed concurrently during the import.
             EtcdError: No member answered, or one rejected the import.
         """
         values = self._encoded_values(rows)
         revision, existing = await self.list_entries()
-        changes = _differences(values, existing, prune)
+        changes = _plan_import(values, existing, prune)
         for first in range(0, len(changes), MAX_CHANGES_PER_TRANSACTION):
             batch = changes[first : first + MAX_CHANGES_PER_TRANSACTION]
             new_revision = await self._compare_and_swap(batch)
             if new_revision is None:
                 raise DirectoryChangeError(
-                    f"an entry was changed meanwhile; {first} of {len(changes)} changes are made"
+                    f"an entry was changed concurrently; {first} of {len(changes)} changes have been made"
                 )
             revision = new_revision
             yield ImportProgress(first + len(batch), len(changes), revision)
@@ -293,7 +297,7 @@
             yield ImportProgress(0, 0, revision)
 
     def _encoded_values(self, rows: Iterable[dict[str, Any]]) -> dict[str, bytes]:
-        """Return the values to import, by uid."""
+        """Encode the entries to import; return the values by uid."""
         values = dict[str, bytes]()
         for number, row in enumerate(rows, 1):
             uid, value = self._encoded(row, f"entry {number}: ")
@@ -302,7 +306,7 @@
         return values
 
     def _encoded(self, row: dict[str, Any], context: str) -> tuple[str, bytes]:
-        """Return the uid and the value of an entry; `context` begins the text of the error."""
+        """Encode an entry; return its uid and value.  Error messages begin with `context`."""
         try:
             value = encode_entry(row)
         except EndpointFormatError as error:
@@ -310,25 +314,25 @@
         return row["uid"], value
 
     async def _change_entry(
-        self, uid: str, plan: Callable[[DirectoryEntry | None], EntryChange | None]
+        self, uid: str, plan_change: Callable[[DirectoryEntry | None], EntryChange | None]
     ) -> int:
-        """Change an entry as `plan` says for its current state, again where another change crosses it.
+        """Make the change that `plan_change` returns for the current entry; retry if a concurrent change conflicts.
 
         Returns:
-            The new revision or, where `plan` returns `None`, that of the entry as it is.
+            The new revision, or the entry's current one if `plan_change` returns `None`.
         """
         for _ in range(MAX_ATTEMPTS):
             current = await self.get(uid)
-            change = plan(current)
+            change = plan_change(current)
             if change is None:
-                return _existing(uid, current).revision
+                return _require_entry(uid, current).revision
             revision = await self._compare_and_swap([change])
             if revision is not None:
                 return revision
-        raise DirectoryChangeError(f"{uid}: others change it all the time")
+        raise DirectoryChangeError(f"{uid}: every attempt conflicted with a concurrent change")
 
     async def _compare_and_swap(self, changes: Sequence[EntryChange]) -> int | None:
-        """Make all changes in one transaction; return its revision, or `None` where an entry has changed."""
+        """Make all changes in one transaction; return its revision, or `None` if an entry has changed."""
         request = pb.TxnRequest()
         for change in changes:
             key = self._endpoints_prefix + change.uid.encode()
@@ -346,13 +350,13 @@
         return response.header.revision if response.succeeded else None
 
 
-def _existing(uid: str, entry: DirectoryEntry | None) -> DirectoryEntry:
+def _require_entry(uid: str, entry: DirectoryEntry | None) -> DirectoryEntry:
     if entry is None:
         raise DirectoryChangeError(f"{uid}: no such endpoint")
     return entry
 
 
-def _differences(
+def _plan_import(
     values: dict[str, bytes], existing: Sequence[DirectoryEntry], prune: bool
 ) -> list[EntryChange]:
     """Return the changes that turn the existing entries into `values`, deletions last."""
--- a/kestreltrack/discovery/etcd/client.py
+++ b/kestreltrack/discovery/etcd/client.py
@@ -1,4 +1,4 @@
-"""Connections to the members of an etcd cluster: calls with a time limit, TLS, tokens, failures by reason."""
+"""A gRPC client for the members of an etcd cluster: timeouts, TLS, authentication tokens, classified failures."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """The operator's files for TLS.
+    """The TLS configuration of the client.
 
     Attributes:
-        ca_file: The certificates that sign the members' certificates.
-        cert_file: The certificate that the client presents; empty without mutual TLS.
-        key_file: The key of that certificate; empty where `cert_file` holds it.
-        server_name: The name that members have to prove; empty for the host of their address.
+        ca_file: The CA certificates that members' certificates are verified against.
+        cert_file: The client certificate; empty without mutual TLS.
+        key_file: The private key of the client certificate; empty if `cert_file` contains it.
+        server_name: The name that members' certificates must have; empty for the host of their address.
     """
 
     ca_file: str
@@ -48,7 +48,7 @@
     server_name: str = ""
 
     def create_ssl_context(self) -> ssl.SSLContext:
-        """Read the files as they are now.
+        """Load the files and return a context for connections.
 
         Raises:
             OSError: A file cannot be read or used (`ssl.SSLError` is a subclass).
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """The cluster: the addresses of its members, and the credentials.  Its `repr` leaves out the password."""
+    """The addresses of the members and the credentials; the password is left out of `repr`."""
 
     members: tuple[str, ...]
     tls: TlsSettings | None = None
@@ -76,7 +76,7 @@
 
 
 def reason_from_message(message: str) -> FailureReason:
-    """Return why a watch was cancelled or a call rejected, according to etcd's message."""
+    """Classify etcd's message for a cancelled watch or a rejected call."""
     if "compacted" in message:
         return FailureReason.COMPACTED
     if NO_LEADER in message or "no leader" in message:
@@ -89,20 +89,20 @@
 
 
 def to_etcd_error(error: BaseException) -> EtcdError:
-    """Return the `EtcdError` for a failure of the gRPC library or of the connection."""
+    """Convert an error of the gRPC library or of the connection to an `EtcdError`."""
     if isinstance(error, EtcdError):
         return error
     if isinstance(error, GRPCError):
         return _from_grpc_error(error)
     if isinstance(error, TimeoutError):
-        return EtcdError(FailureReason.TIMEOUT, "no answer in time")
+        return EtcdError(FailureReason.TIMEOUT, "no response within the time limit")
     if isinstance(error, OSError | StreamTerminatedError | ProtocolError):
         return EtcdError(FailureReason.UNREACHABLE, str(error) or type(error).__name__)
     return EtcdError(FailureReason.INVALID_RESPONSE, repr(error))
 
 
 def _from_grpc_error(error: GRPCError) -> EtcdError:
-    """Return the error by etcd's message or, where that says nothing, by the status code."""
+    """Classify an error by etcd's message or, if the message is not a known one, by the status code."""
     reason = reason_from_message(error.message or "")
     if reason is FailureReason.CANCELLED:
         reason = REASON_BY_STATUS.get(error.status, FailureReason.INVALID_RESPONSE)
@@ -110,7 +110,7 @@
 
 
 class _ClosableChannel(Channel):
-    """A channel that may be closed while it connects; the library would leave that connection open."""
+    """A channel that can be closed while it connects; `grpclib.client.Channel` would leave that connection open."""
 
     close_requested = False
 
@@ -118,27 +118,27 @@
         protocol = await super()._create_connection()
         if self.close_requested:
             protocol.processor.close()
-            raise ConnectionResetError("the channel was closed while it connected")
+            raise ConnectionResetError("the channel was closed while connecting")
         return protocol
 
     def close(self) -> None:
-        """Close the channel, now or as soon as it is connected."""
+        """Close the channel; a connection that is being established is closed once it is open."""
         self.close_requested = True
         super().close()
 
 
 class EtcdClient:
-    """Calls to members, by their index in the settings; fetches a token where one is needed and renews it.
+    """Calls members, identified by their index in the settings; obtains and renews the authentication token.
 
     Attributes:
         cluster: The settings of the cluster.
     """
 
     def __init__(self, cluster: ClusterSettings) -> None:
-        """Create the client; it connects at the first call, but reads the files for TLS now.
+        """Create the client and load the TLS files; it connects at the first call.
 
         Raises:
-            OSError: A file for TLS cannot be used.
+            OSError: A TLS file cannot be read or used.
         """
         self.cluster = cluster
         self._tls = cluster.tls.create_ssl_context() if cluster.tls else None
@@ -151,7 +151,7 @@
         return len(self.cluster.members)
 
     def channel(self, member_index: int) -> Channel:
-        """Return the channel to a member; create it where there is none.
+        """Return the channel to a member; create it if there is none.
 
         Raises:
             EtcdError: The client is closed.
@@ -166,7 +166,7 @@
         return self._channels[member_index]
 
     def close_channel(self, member_index: int) -> None:
-        """Close the channel to a member, if there is one."""
+        """Close the channel to a member, if one is open."""
         channel = self._channels.pop(member_index, None)
         if channel is not None:
             channel.close()
@@ -178,18 +178,18 @@
             self.close_channel(member_index)
 
     def discard_token(self) -> None:
-        """Forget the token, which a member rejected; the next call fetches another one."""
+        """Discard a token that a member rejected; the next call authenticates again."""
         self._token = None
 
     async def call(self, member_index: int, stub: Any, method: str, request: Any, timeout_s: float) -> Any:
-        """Make a unary call; an expired token is renewed once.
+        """Make a unary call; retry it once with a new token if the token is rejected.
 
         Args:
             member_index: The member to call.
-            stub: The generated class of the service's stub.
-            method: The name of the method in the protocol.
+            stub: The generated stub class of the service.
+            method: The name of the RPC method.
             request: The request message.
-            timeout_s: The time limit of the call, and of the authentication before it, in seconds.
+            timeout_s: The time limit in seconds; it applies to the call and to a preceding authentication separately.
 
         Raises:
             EtcdError: The call failed.
@@ -224,7 +224,7 @@
         return response
 
     async def _metadata(self, member_index: int, timeout_s: float) -> list[tuple[str, str]]:
-        """Return the metadata that authenticates a call; fetch a token where there is none."""
+        """Return the metadata that authenticates a call; obtain a token if there is none."""
         if not self.cluster.user:
             return []
         if self._token is None:
@@ -235,7 +235,7 @@
         return [("token", self._token)]
 
     def _to_error(self, error: BaseException) -> EtcdError:
-        """Return the `EtcdError` for a failure; discard the token where it was rejected."""
+        """Convert an error to an `EtcdError`; discard the token if it was rejected."""
         failure = to_etcd_error(error)
         if failure.reason is FailureReason.INVALID_TOKEN:
             self.discard_token()
@@ -250,17 +250,17 @@
         timeout_s: float,
         metadata: Sequence[tuple[str, str]] = (),
     ) -> AsyncIterator[Stream[Any, Any]]:
-        """Open a bidirectional stream, and cancel it at the end.
+        """Open a bidirectional stream, which is cancelled when the context exits.
 
         Args:
             member_index: The member to call.
-            stub: The generated class of the service's stub.
-            method: The name of the method in the protocol.
+            stub: The generated stub class of the service.
+            method: The name of the RPC method.
             timeout_s: The time limit for opening the stream, in seconds.
-            metadata: Metadata in addition to the token.
+            metadata: Metadata to send in addition to the token.
 
         Raises:
-            EtcdError: The stream cannot be opened, or a failure of the connection ended the body.
+            EtcdError: The stream could not be opened, or the call or the connection failed in the body.
         """
         try:
             all_metadata = [*await self._metadata(member_index, timeout_s), *metadata]
@@ -276,7 +276,7 @@
         except (EtcdError, GRPCError, StreamTerminatedError, ProtocolError, OSError) as error:
             raise self._to_error(error) from error
         finally:
-            # The stream may have ended by itself; then both calls fail.
+            # Both calls fail if the stream has already ended.
             with suppress(Exception):
                 await stream.cancel()
             with suppress(Exception):
--- a/kestreltrack/discovery/etcd/errors.py
+++ b/kestreltrack/discovery/etcd/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the directory in etcd, and the reasons for which a call or a watch fails."""
+"""Errors of the directory in etcd, and the reasons why a call or a watch fails."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FailureReason(Enum):
-    """Why a member was left, or the local state given up; the values are names of counters and log fields."""
+    """Why a call or a watch failed, or the local state was discarded; the values name counters and appear in logs."""
 
     UNREACHABLE = "unreachable"
     TIMEOUT = "silent"
@@ -29,14 +29,14 @@
     """A call or a stream to a member of the cluster failed.
 
     Attributes:
-        reason: The kind of failure, on which `watch_state` decides how to go on.
+        reason: The kind of failure, which determines how `watch_state` recovers.
     """
 
     def __init__(self, reason: FailureReason, message: str) -> None:
-        """Create the error with the member's own message, or that of the connection."""
+        """Create the error with the message of the member or of the connection."""
         super().__init__(f"{reason.value}: {message}" if message else reason.value)
         self.reason = reason
 
 
 class DirectoryChangeError(DirectoryError):
-    """A change that an operator asked for cannot be made; the text names the entry and the cause."""
+    """A change that an operator requested cannot be made; the message names the entry and the cause."""
--- a/kestreltrack/discovery/etcd/layout.py
+++ b/kestreltrack/discovery/etcd/layout.py
@@ -1,7 +1,7 @@
 """The layout of keys: `PREFIXendpoints/UID` for an endpoint, `PREFIXsenders/NAME` for a registered sender.
 
-The value of an endpoint's key is its entry in the platform's JSON form (`discovery.json_format`); the uid is the one
-in the key, whatever the value says.
+The value of an endpoint's key is its entry in the platform's JSON format (`discovery.json_format`).  The uid is taken
+from the key; a uid in the value is ignored.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from kestreltrack.ports import EndpointListUpdate, ListedEndpoint
 from kestreltrack.telemetry import Telemetry
 
-# An entry has some 150 bytes; a value far beyond that is not worth decoding on the event loop.
+# An entry has about 150 bytes; decoding a much larger value would block the event loop.
 MAX_VALUE_BYTES = 64 * 1024
 
 
@@ -32,29 +32,29 @@
 
 
 def decode_entry(uid: str, value: bytes) -> ListedEndpoint:
-    """Return the endpoint that a key with `uid` and its value describe.
+    """Decode the endpoint with `uid` from the value of its key.
 
     Raises:
-        EndpointFormatError: The uid or the value is malformed; the text says what is.
+        EndpointFormatError: The uid or the value is malformed; the message says why.
     """
     if not uid or "/" in uid or not uid.isprintable():
-        raise EndpointFormatError("the key holds no uid")
+        raise EndpointFormatError("the key has no valid uid")
     if len(value) > MAX_VALUE_BYTES:
-        raise EndpointFormatError(f"{len(value)} bytes are more than {MAX_VALUE_BYTES}")
+        raise EndpointFormatError(f"{len(value)} bytes exceed the limit of {MAX_VALUE_BYTES}")
     try:
         row = orjson.loads(value)
     except orjson.JSONDecodeError as error:
         raise EndpointFormatError(str(error)) from error
     if not isinstance(row, dict):
-        raise EndpointFormatError("not an object")
+        raise EndpointFormatError("the value is not a JSON object")
     return parse_endpoint({**row, "uid": uid})
 
 
 def encode_entry(row: dict[str, Any]) -> bytes:
-    """Return the value of the key for an entry in the platform's form.
+    """Encode an entry in the platform's format as the value of its key.
 
     Raises:
-        EndpointFormatError: The value could not be decoded again.
+        EndpointFormatError: The entry is malformed: `decode_entry` would reject the value.
     """
     fields = {name: value for name, value in row.items() if name != "uid"}
     value = orjson.dumps(fields, option=orjson.OPT_SORT_KEYS)
@@ -64,24 +64,24 @@
 
 @dataclass(frozen=True, slots=True)
 class _DecodedEntry:
-    """The result of decoding a value: an endpoint, or `None` where the value is malformed."""
+    """The result of decoding a value: an endpoint, or `None` if the value is malformed."""
 
     value: bytes | None
     endpoint: ListedEndpoint | None
 
 
 class DirectoryView:
-    """The endpoints as the keys describe them, each in its last state that could be decoded."""
+    """The endpoints decoded from the keys; a malformed value leaves the endpoint's last valid state in effect."""
 
     def __init__(self, prefix: str, telemetry: Telemetry) -> None:
-        """Create an empty view of the directory behind `prefix`."""
+        """Create an empty view of the directory under `prefix`."""
         self._key_prefix = endpoints_prefix(prefix).encode()
         self._telemetry = telemetry
         self._endpoints: dict[str, ListedEndpoint] = {}
         self._decoded: dict[bytes, _DecodedEntry] = {}
 
     def decode_page(self, changes: tuple[KeyChange, ...]) -> None:
-        """Decode the entries of a page in advance, so that `apply` does not decode all pages at once."""
+        """Decode the entries of a page in advance, so that `apply` need not decode all pages at once."""
         for change in changes:
             self._decoded[change.key] = _DecodedEntry(change.value, self._decode(change))
 
@@ -110,12 +110,12 @@
         return EndpointListUpdate(update.revision, True, tuple(self._endpoints.values()))
 
     def _apply_change(self, change: KeyChange) -> ListedEndpoint | None:
-        """Apply the change of one key; return the endpoint in its new state, or `None` where nothing changes."""
+        """Apply the change of one key; return the endpoint in its new state, or `None` if nothing changes."""
         uid = self._uid(change)
         previous = self._endpoints.get(uid)
         endpoint = None if change.value is None else self._decode(change)
         if change.value is not None and endpoint is None:
-            return None  # malformed: the last good state stays in force
+            return None  # malformed: the last valid state stays in effect
         if endpoint is None or endpoint.state is EndpointLifecycle.REMOVED:
             self._endpoints.pop(uid, None)
             return replace(previous, state=EndpointLifecycle.REMOVED) if previous else None
--- a/kestreltrack/discovery/etcd/member_count.py
+++ b/kestreltrack/discovery/etcd/member_count.py
@@ -1,4 +1,4 @@
-"""Reads periodically which senders are registered, for `fleet.membership.member_count`."""
+"""Periodically reads the names of the registered senders, which `fleet.membership.member_count` counts."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from kestreltrack.ports import Clock
 from kestreltrack.telemetry import Telemetry
 
-# Between two reads; a lease lasts several times as long.
+# Interval between two reads; the lease of a registration lasts several times as long.
 READ_INTERVAL_S = 1.0
 
 
 class MemberCountReader:
-    """Reports how many senders share the limits of a destination, whenever that number changes."""
+    """Reports the number of senders that share a destination's limits whenever it changes."""
 
     def __init__(
         self,
@@ -31,13 +31,13 @@
         telemetry: Telemetry,
         timeout_s: float,
     ) -> None:
-        """Prepare the reads; they begin with `run`.
+        """Create the reader; `run` starts the reads.
 
         Args:
-            client: Returns the client in force.
+            client: Returns the current client.
             prefix: The prefix of the directory.
-            member_count: Decides from the reads which number is in force.
-            on_change: Receives each new number.
+            member_count: Computes the number in effect from the results of the reads.
+            on_change: Called with each new number.
             clock: A monotonic clock in milliseconds.
             telemetry: Receives the fault `discovery.etcd.member_count_failed`.
             timeout_s: The time limit of a read, in seconds.
--- a/kestreltrack/discovery/etcd/registration.py
+++ b/kestreltrack/discovery/etcd/registration.py
@@ -1,8 +1,8 @@
-"""The registration of senders: each has an entry at `PREFIXsenders/NAME`, bound to a lease.
+"""The registration of a sender: a key at `PREFIXsenders/NAME` that is bound to a lease.
 
-The entry holds the newest revision that the sender has applied: operators see there who follows the directory, and
-`drain --wait` waits for all registered senders.  Losing the lease, or etcd as a whole, never stops a sender: it
-registers again as soon as it can.
+Its value holds the newest revision that the sender has applied.  Operators list the senders that follow the directory
+from these entries, and `drain --wait` waits for all registered senders.  Losing the lease or the connection to etcd
+never stops a sender: it registers again as soon as it can.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from kestreltrack.etcdapi import rpc_pb2 as pb
 from kestreltrack.telemetry import Telemetry
 
-# Between two checks of the applied revision: a drain is acknowledged at most so long after it was applied.
+# Interval between two checks of the applied revision; bounds the delay between applying a drain and acknowledging it.
 POLL_INTERVAL_S = 0.02
-# Keepalives within the lifetime of a lease, so that a lost one does not end it.
+# More than one, so that the lease outlives a lost keepalive.
 KEEPALIVES_PER_TTL = 3
-# The delay after a failure: it doubles from the first value to the second, with jitter.
+# The backoff between attempts to register; it doubles with each consecutive failure, with jitter.
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 15.0
-# Bounds the exponent of the delay; `MAX_BACKOFF_S` is reached before.
+# Keeps the exponent small; `MAX_BACKOFF_S` limits the backoff before that.
 MAX_DOUBLINGS = 8
-# The share of the time limit that the revocation of the lease may take: it delays the end of the process.
+# The revocation of the lease gets a fraction of the time limit, because it delays the end of the process.
 REVOKE_TIMEOUT_DIVISOR = 4
 
 
 class SenderRegistration:
-    """Keeps the entry of one sender up to date."""
+    """Registers one sender and keeps its entry up to date."""
 
     def __init__(
         self,
@@ -49,18 +49,18 @@
         timeout_s: float = 1.0,
         gossip_address: str = "",
     ) -> None:
-        """Prepare the registration; it begins with `run`.
+        """Create the registration; `run` starts it.
 
         Args:
-            client: Returns the client in force.
+            client: Returns the current client.
             prefix: The prefix of the directory.
-            name: The sender's name, which is the key of its entry.
-            version: The sender's version.
+            name: The sender's name, which is part of the key of its entry.
+            version: The version of the sender's software.
             applied_revision: Returns the newest revision that the sender has applied.
-            lease_ttl_s: The lifetime of the lease, in seconds.
+            lease_ttl_s: The TTL of the lease, in seconds.
             telemetry: Receives the fault `discovery.etcd.registration_lost`.
             timeout_s: The time limit of each call, in seconds.
-            gossip_address: `host:port` where other senders of the fleet reach this one; empty for nowhere.
+            gossip_address: `host:port` at which other senders of the fleet reach this one; empty without gossip.
         """
         self._client = client
         self._key = (senders_prefix(prefix) + name).encode()
@@ -74,7 +74,7 @@
         self._random = random.Random()
 
     async def run(self) -> None:
-        """Register, and again whenever the registration was lost, until cancelled."""
+        """Register, and register again whenever the registration is lost, until cancelled."""
         failures = 0
         while True:
             client = self._client()
@@ -83,19 +83,19 @@
                 await self._register_once(client, member_index)
                 failures = 0
             except EtcdError as error:
-                # A lease that ended says nothing against the member: it does not lengthen the delay.
+                # An expired lease is no failure of the member and does not lengthen the backoff.
                 failures = 1 if error.reason is FailureReason.CANCELLED else failures + 1
                 self._telemetry.record_fault(
                     "discovery.etcd.registration_lost", why=error.reason.value, error=str(error)
                 )
-            longest_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(failures, MAX_DOUBLINGS))
-            await asyncio.sleep(longest_s * (0.5 + 0.5 * self._random.random()))
+            max_delay_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** min(failures, MAX_DOUBLINGS))
+            await asyncio.sleep(max_delay_s * (0.5 + 0.5 * self._random.random()))
 
     async def _register_once(self, client: EtcdClient, member_index: int) -> None:
-        """Acquire a lease, and maintain it and the entry until the client is replaced.
+        """Acquire a lease, then keep it and the entry up to date until the client is replaced.
 
         Raises:
-            EtcdError: The lease could not be acquired, or was lost.
+            EtcdError: The lease could not be acquired, it was lost, or a call failed.
         """
         request = pb.LeaseGrantRequest(TTL=self._lease_ttl_s)
         lease = await client.call(member_index, rpc.LeaseStub, "LeaseGrant", request, self._timeout_s)
@@ -135,13 +135,13 @@
         except Exception as error:
             raise to_etcd_error(error) from error
         if response is None or response.TTL <= 0:
-            raise EtcdError(FailureReason.CANCELLED, "the lease has ended")
+            raise EtcdError(FailureReason.CANCELLED, "the lease has expired or was revoked")
 
     async def _revoke_lease(self, client: EtcdClient, member_index: int, lease_id: int) -> None:
-        """Remove the entry at once, so that nobody waits for a sender that has stopped."""
+        """Revoke the lease, which deletes the entry, so that no drain waits for a sender that has stopped."""
         request = pb.LeaseRevokeRequest(ID=lease_id)
         timeout_s = self._timeout_s / REVOKE_TIMEOUT_DIVISOR
         try:
             await client.call(member_index, rpc.LeaseStub, "LeaseRevoke", request, timeout_s)
         except EtcdError:
-            return  # the lease ends by itself
+            return  # the lease expires after its TTL
--- a/kestreltrack/discovery/etcd/seed_lookup.py
+++ b/kestreltrack/discovery/etcd/seed_lookup.py
@@ -1,4 +1,4 @@
-"""Reads from the senders' registrations where other members of the fleet are reached: each may serve as a seed."""
+"""Reads the gossip addresses in the senders' registrations, which serve as seeds for joining the fleet."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from kestreltrack.etcdapi import rpc_pb2 as pb
 from kestreltrack.telemetry import Telemetry
 
-# Between two reads; members learn of each other by gossip once one of them is known.
+# Interval between two reads; once one member is known, the others are learned by gossip.
 READ_INTERVAL_S = 10.0
-# Entries of one read, the newest: a few seeds are enough in a fleet of any size.
+# Only the most recently written entries are read: a few seeds are enough in a fleet of any size.
 MAX_ENTRIES = 16
-# An address that is longer is not one that a sender has registered.
+# Longer than any `host:port` that a sender registers.
 MAX_ADDRESS_LENGTH = 64
 
 
@@ -33,12 +33,12 @@
         telemetry: Telemetry,
         timeout_s: float,
     ) -> None:
-        """Prepare the reads; they begin with `run`.
+        """Create the lookup; `run` starts the reads.
 
         Args:
-            client: Returns the client in force.
+            client: Returns the current client.
             prefix: The prefix of the directory.
-            on_addresses: Receives the addresses of each read, as `host:port`.
+            on_addresses: Called after each read with the addresses, as `host:port`.
             telemetry: Receives the fault `discovery.etcd.seed_lookup_failed`.
             timeout_s: The time limit of a read, in seconds.
         """
@@ -50,7 +50,7 @@
         self._member_index = 0
 
     async def run(self) -> None:
-        """Read until cancelled; while etcd cannot be reached, the addresses of the last read stay in use."""
+        """Read until cancelled; a failed read leaves the addresses of the last one in use."""
         while True:
             await self._read_addresses()
             await asyncio.sleep(READ_INTERVAL_S)
@@ -75,7 +75,7 @@
 
 
 def _gossip_address(value: bytes) -> str:
-    """Return the address in an entry; empty where it has none, as that of a sender that does not gossip."""
+    """Return the gossip address in a registration; empty if it has none or a malformed one."""
     try:
         row = orjson.loads(value)
     except orjson.JSONDecodeError:
--- a/kestreltrack/discovery/etcd/source.py
+++ b/kestreltrack/discovery/etcd/source.py
@@ -1,4 +1,4 @@
-"""The endpoint source for a directory in etcd: performs the steps that the watch's state machine decides."""
+"""The endpoint source for a directory in etcd: performs the I/O that the watch's state machine requests."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 from kestreltrack.ports import Clock, EndpointListUpdate
 from kestreltrack.telemetry import Telemetry
 
-# Makes a member that loses its leader end the watch.
+# Makes a member cancel the watch when it loses its leader.
 REQUIRE_LEADER_METADATA = ("hasleader", "true")
-# The longest time between two reports of the age of the list.
+# Bounds the interval between two reports of the list's age.
 MAX_SLEEP_S = 0.25
 
 
 def decode_watch_response(response: pb.WatchResponse) -> WatchResponse:
-    """Return a response of the protocol in the form of the state machine."""
+    """Convert a response of the protocol to the type of the state machine."""
     cancelled = None
     if response.canceled:
         if response.compact_revision:
@@ -63,9 +63,9 @@
 
 
 class _WatchTasks:
-    """The tasks of one open watch: one receives the next response, one the result of a confirming read.
+    """The concurrent tasks of one open watch: receiving the next response, and a confirming read.
 
-    A context manager that cancels both at the end.
+    A context manager, which cancels both tasks on exit.
     """
 
     def __init__(self, stream: Any) -> None:
@@ -85,11 +85,11 @@
         await cancel_and_wait((self._receiving, self._confirming))
 
     def confirm(self, read: Coroutine[Any, Any, pb.RangeResponse]) -> None:
-        """Start a confirming read."""
+        """Start a confirming read as a task."""
         self._confirming = asyncio.create_task(read)
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait until a response or a confirmation was received, at most `timeout_s`."""
+        """Wait until a response or a confirmation has been received, at most `timeout_s`."""
         if self._receiving is None:
             self._receiving = asyncio.create_task(self._stream.recv_message())
         tasks: set[asyncio.Task[Any]] = {self._receiving}
@@ -98,21 +98,21 @@
         await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
 
     def take_response(self) -> pb.WatchResponse | None:
-        """Return the response that was received, or `None` while there is none.
+        """Return the response that was received, or `None` if none was.
 
         Raises:
-            EtcdError: The member has ended the stream.
+            EtcdError: The member has closed the stream.
         """
         if self._receiving is None or not self._receiving.done():
             return None
         response: pb.WatchResponse | None = self._receiving.result()
         self._receiving = None
         if response is None:
-            raise EtcdError(FailureReason.UNREACHABLE, "the watch ended")
+            raise EtcdError(FailureReason.UNREACHABLE, "the member closed the watch")
         return response
 
     def take_confirmation(self) -> pb.RangeResponse | None:
-        """Return the result of the confirming read, or `None` while there is none.
+        """Return the result of the confirming read, or `None` if it is pending or none was started.
 
         Raises:
             EtcdError: The read failed.
@@ -125,15 +125,15 @@
 
 
 class EtcdEndpointSource:
-    """Follows the endpoints behind one prefix; an `EndpointSource`.
+    """Follows the endpoints under one prefix; an `EndpointSource`.
 
-    Failures of members are never raised: the source goes on with the list it has and reports its age.
+    Failures of members are not raised: the last list stays in effect, and its age is reported.
 
     Attributes:
-        client: The client in force.
+        client: The current client.
         prefix: The prefix of the directory.
-        watch_state: Decides the steps.
-        view: The endpoints as the keys describe them.
+        watch_state: The state machine of the watch.
+        view: The endpoints decoded from the keys.
         staleness: Reports the age of the list.
         applied_revision: The newest revision that the consumer of `follow` has applied.
     """
@@ -148,15 +148,15 @@
         staleness_bounds_ms: Sequence[float] = (5_000.0, 60_000.0, 600_000.0),
         rng: random.Random | None = None,
     ) -> None:
-        """Create the source; it opens nothing before `follow`.
+        """Create the source; it connects once `follow` is iterated.
 
         Args:
-            client: The client, which the source closes.
+            client: The client; the source closes it.
             prefix: The prefix of the directory.
             parameters: The operator's settings of the watch.
             clock: A monotonic clock in milliseconds.
             telemetry: Receives the log and the counters.
-            staleness_bounds_ms: The ages of the list at which a line is logged.
+            staleness_bounds_ms: The ages of the list at which it is logged as stale.
             rng: The generator for jitter; a new one by default.
         """
         self.client = client
@@ -173,7 +173,7 @@
         self._gc_paused = False
 
     def replace_client(self, client: EtcdClient) -> None:
-        """Go on with a client for other members or other credentials; the list stays in force meanwhile."""
+        """Switch to a client for other members or with other credentials; the list stays in effect meanwhile."""
         old_client = self.client
         self.client = client
         same_members = old_client.cluster.members == client.cluster.members
@@ -185,12 +185,12 @@
         self.client.close()
 
     def age_ms(self) -> float:
-        """Return how old the list may be; before the first list, the time since the source was created."""
+        """Return the greatest age that the list may have; before the first list, the time since creation."""
         now = self._clock()
         return min(self.watch_state.age_ms(now), now - self._started_at)
 
     async def follow(self) -> AsyncIterator[EndpointListUpdate]:
-        """Yield the complete list, then every change, without end."""
+        """Yield the complete list, then all changes, indefinitely."""
         try:
             while True:
                 async for update in self._perform_step():
@@ -203,7 +203,7 @@
             self._resume_gc()
 
     def _pause_gc(self) -> None:
-        """Suspend garbage collection while a large list is read; `gc_pause` says why."""
+        """Suspend garbage collection while a large list is read; see `gc_pause` for the reason."""
         if not self._gc_paused:
             self._gc_paused = True
             GcPause.begin()
@@ -228,7 +228,7 @@
 
     def _step_failed(self, client: EtcdClient, member_index: int, error: EtcdError) -> None:
         if client is not self.client:
-            return  # replaced meanwhile: a failure of the old members says nothing
+            return  # replaced meanwhile: a failure of the old client is irrelevant
         self._telemetry.log(
             "discovery.etcd.member_failed",
             member=client.cluster.members[member_index],
@@ -237,7 +237,7 @@
         )
         self.watch_state.step_failed(self._clock(), error.reason)
 
-    # The listing ---------------------------------------------------------------------------------
+    # Listing -------------------------------------------------------------------------------------
 
     async def _read_page(self, step: ReadPage) -> PrefixUpdate | None:
         request = pb.RangeRequest(
@@ -258,12 +258,12 @@
         if response.more:
             self._pause_gc()
         keys = tuple(KeyChange(kv.key, kv.value, kv.mod_revision) for kv in response.kvs)
-        # Decoded page by page: all pages at once would stop the event loop for too long.
+        # Decoded page by page: decoding all pages at once would block the event loop for too long.
         self.view.decode_page(keys)
         header = response.header
         return self.watch_state.page_received(header.cluster_id, header.revision, keys, response.more)
 
-    # The watch -----------------------------------------------------------------------------------
+    # Watching ------------------------------------------------------------------------------------
 
     async def _watch(self, step: OpenWatch) -> AsyncIterator[PrefixUpdate]:
         client = self.client
@@ -279,25 +279,25 @@
                 step.member_index, rpc.WatchStub, "Watch", self._timeout_s, [REQUIRE_LEADER_METADATA]
             ) as stream:
                 await stream.send_message(pb.WatchRequest(create_request=request))
-                async for update in self._listen(client, step.member_index, stream):
+                async for update in self._receive_updates(client, step.member_index, stream):
                     yield update
         except EtcdError as error:
             self._step_failed(client, step.member_index, error)
         if self.watch_state.phase is WatchPhase.BACKOFF and client is self.client and len(client) > 1:
-            # A member that hangs keeps its connections open without end.
+            # A member that hangs would keep the connection open indefinitely.
             client.close_channel(step.member_index)
 
-    async def _listen(
+    async def _receive_updates(
         self, client: EtcdClient, member_index: int, stream: Any
     ) -> AsyncIterator[PrefixUpdate]:
-        """Yield what the watch delivers, and have it confirmed, until the state machine leaves it."""
+        """Yield the updates of the watch, and confirm it periodically, until the state machine closes it."""
         async with _WatchTasks(stream) as tasks:
             while client is self.client:
                 await self._perform_due_actions(client, member_index, stream, tasks)
                 if self.watch_state.phase not in (WatchPhase.OPENING, WatchPhase.WATCHING):
-                    self._log_left_member(client, member_index)
+                    self._log_failed_member(client, member_index)
                     return
-                timeout_s = self.watch_state.listen_timeout_ms(self._clock()) / 1000.0
+                timeout_s = self.watch_state.receive_timeout_ms(self._clock()) / 1000.0
                 await tasks.wait(min(timeout_s, MAX_SLEEP_S))
                 response = tasks.take_response()
                 if response is not None:
@@ -328,19 +328,19 @@
         return self.watch_state.response_received(self._clock(), decoded)
 
     async def _read_current_revision(self, client: EtcdClient, member_index: int) -> pb.RangeResponse:
-        """Make a linearizable read that costs the member next to nothing: of one key that does not exist."""
+        """Make a linearizable read that is cheap for the member: it counts a single key, which does not exist."""
         request = pb.RangeRequest(key=self._key_prefix, count_only=True)
         return await client.range(member_index, request, self._timeout_s)
 
     # Reports -------------------------------------------------------------------------------------
 
-    def _log_left_member(self, client: EtcdClient, member_index: int) -> None:
+    def _log_failed_member(self, client: EtcdClient, member_index: int) -> None:
         address = client.cluster.members[member_index]
         counts = dict(self.watch_state.event_counts)
         self._telemetry.log("discovery.etcd.member_failed", member=address, counts=counts)
 
     def _report_state(self) -> None:
-        """Copy the counts of the state machine to the counters, and report the age of the list."""
+        """Copy the state machine's counts to the telemetry counters, and report the age of the list."""
         for name, count in self.watch_state.event_counts.items():
             self._telemetry.counters[f"discovery.etcd.{name}"] = count
         self.staleness.report(self.age_ms())
--- a/kestreltrack/discovery/etcd/staleness.py
+++ b/kestreltrack/discovery/etcd/staleness.py
@@ -1,4 +1,4 @@
-"""Reports the age of the followed list as a counter, and writes to the log when it passes an operator's bound."""
+"""Reports the age of the endpoint list as a counter, and logs when it exceeds a configured bound."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class StalenessReporter:
-    """Compares the age of the list with the bounds.
+    """Compares the age of the list with the configured bounds.
 
     Attributes:
-        bounds_ms: The ages, in ascending order, from which the list counts as stale and as ever more stale.
+        bounds_ms: The ages, in ascending order, at which the list is reported as stale.
     """
 
     def __init__(self, bounds_ms: Sequence[float], telemetry: Telemetry) -> None:
-        """Begin with a list that counts as fresh."""
+        """Start with a fresh list."""
         self.bounds_ms = tuple(sorted(bounds_ms))
         self._telemetry = telemetry
-        # The number of bounds that the age had passed at the last report.
+        # The number of bounds that the age exceeded at the last report.
         self._level = 0
 
     def report(self, age_ms: float) -> None:
-        """Set the counter of the age; record a fault at each further bound, and log when the list is fresh again."""
+        """Update the age counter; record a fault at each further bound, and log when the list is fresh again."""
         self._telemetry.counters["discovery.etcd.age_ms"] = int(age_ms)
         level = sum(age_ms >= bound for bound in self.bounds_ms)
         if level > self._level:
--- a/kestreltrack/discovery/etcd/watch_state.py
+++ b/kestreltrack/discovery/etcd/watch_state.py
@@ -1,27 +1,27 @@
-"""How the keys of a prefix are followed: what to ask, of which member, when to leave it, what to pass on.
+"""The state machine that lists and watches the keys of a prefix, and selects the member of the cluster to use.
 
-Pure: clock readings, answers and failures go in; the next step and updates come out (`source` performs the steps).
-Times are milliseconds of one monotonic clock.
+It performs no I/O: clock readings, responses and failures are its input, the next step and updates its output
+(`source` performs the steps).  Times are milliseconds of one monotonic clock.
 
-| phase | input | next phase | passed on |
+| phase | input | next phase | delivered update |
 | --- | --- | --- | --- |
-| BACKOFF | due, the local state can be continued | OPENING at the chosen member | |
-| BACKOFF | due, no local state, or it cannot be continued | LISTING | |
+| BACKOFF | delay elapsed, the local state can be resumed | OPENING at the selected member | |
+| BACKOFF | delay elapsed, no local state, or it cannot be resumed | LISTING | |
 | LISTING | a page, more to come | LISTING at the same revision | |
 | LISTING | the last page | OPENING | the complete content |
 | LISTING | compacted, another cluster | BACKOFF, then LISTING from the beginning, same member | |
 | OPENING | created | WATCHING | |
 | OPENING, WATCHING | compacted, another cluster, a revision that regressed | BACKOFF, then LISTING | |
-| WATCHING | events that are complete | WATCHING | those not yet passed on |
-| WATCHING | no answer, lag, no leader, cancelled | BACKOFF, then another member | |
+| WATCHING | the last fragment of a batch of events | WATCHING | those not delivered before |
+| WATCHING | timeout, lag, no leader, cancelled | BACKOFF, then another member | |
 | any | the connection broke | BACKOFF, then another member | |
 
-**Freshness.** An open connection proves nothing, and a progress response proves only what that member knows.  So the
-watch is confirmed again and again: a linearizable read through the same member gives a revision that the cluster has
-agreed on, and the watch has to reach that revision, by events or a progress response, within `response_timeout_ms`.
-The local state is as old as the last read that was confirmed in this way.
+**Freshness.** An open connection does not show that the watch is up to date, and a progress response shows only what
+that member knows.  The watch is therefore confirmed periodically: a linearizable read through the same member returns
+a revision that the cluster has committed, and the watch has to reach that revision, by events or a progress response,
+within `response_timeout_ms`.  The age of the local state is the time since the last listing or confirmed read began.
 
-How reconnections are spread, delayed and limited is decided in `reconnection`.
+`reconnection` determines the spread, the backoff and the rate limit of reconnections.
 """
 
 from __future__ import annotations
@@ -47,17 +47,17 @@
     WatchResponse,
 )
 
-# How often a watch that is behind a confirmed revision is asked for its progress before the member is left.
+# How often a watch that has not reached a confirmed revision is asked for its progress before it times out.
 PROGRESS_REQUESTS_PER_TIMEOUT = 5
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingConfirmation:
-    """A revision that the watch has not reached yet.
+    """A committed revision that the watch has not reached yet.
 
     Attributes:
-        revision: The revision that the cluster had agreed on.
-        read_started_at: When the read that returned it began.
+        revision: The revision that the confirming read returned.
+        read_started_at: When that read began.
         received_at: When that read returned.
     """
 
@@ -67,20 +67,20 @@
 
 
 class WatchStateMachine:
-    """One follower of one prefix.
+    """The state of the watch of one prefix.
 
     Attributes:
         parameters: The operator's settings.
-        phase: What the follower does now.
-        members: The chosen member, and the backoff of each.
-        cluster_id: The id of the cluster that is followed; 0 while it is unknown.
-        delivered_revision: The newest revision that was passed on completely.
-        confirmed_at: A time at which the local state was the cluster's.
-        event_counts: Failures and repeated events, by the name of their counter.
+        phase: The current phase.
+        members: The selected member, and the backoff of each member.
+        cluster_id: The id of the watched cluster; 0 while it is unknown.
+        delivered_revision: The newest revision that was delivered completely.
+        confirmed_at: The latest time at which the local state is known to have been up to date.
+        event_counts: The numbers of failures and of repeated events, by the name of their counter.
     """
 
     def __init__(self, parameters: WatchParameters, rng: random.Random) -> None:
-        """Begin without any local state; the first step reads the complete content."""
+        """Start without local state; the first step begins a listing."""
         self.parameters = parameters
         self.phase = WatchPhase.BACKOFF
         self.members = MemberSelector(parameters, rng)
@@ -90,26 +90,26 @@
         self.event_counts: dict[str, int] = {}
         self._open_budget = OpenBudget(parameters)
         self._wait_until = NEVER
-        # Whether a watch from `delivered_revision` on continues the local state.
+        # Whether a watch that starts after `delivered_revision` continues the local state.
         self._can_resume = False
         self._listed_keys = list[KeyChange]()
         # The revision of the listing; 0 before its first page.
         self._list_revision = 0
         self._list_started_at = NEVER
-        # The changes of a response whose further fragments have not come yet.
+        # The changes of a batch whose last fragment has not been received yet.
         self._fragments = list[KeyChange]()
-        # When the pending opening or confirming read began; `NEVER` where none is pending.
+        # When the pending opening or confirming read began; `NEVER` if none is pending.
         self._request_started_at = NEVER
         self._next_confirmation_at = NEVER
-        # What had been passed on when the confirming read began.
+        # `delivered_revision` when the confirming read began.
         self._revision_at_request = 0
         self._pending_confirmation: _PendingConfirmation | None = None
         self._next_progress_at = NEVER
 
-    # The next step -------------------------------------------------------------------------------
+    # Steps ---------------------------------------------------------------------------------------
 
     def next_step(self, now: float) -> Step:
-        """Return what to do now; called whenever the previous step is over."""
+        """Return the next step; called whenever the previous one has ended."""
         if self.phase is WatchPhase.BACKOFF:
             if now < self._wait_until:
                 return Wait(self._wait_until - now)
@@ -136,23 +136,23 @@
         self._list_revision = 0
 
     def _reset_watch(self) -> None:
-        """Forget what belongs to one watch: fragments, and the request and confirmation that are pending."""
+        """Discard the state of one watch: fragments, and the pending request and confirmation."""
         self._fragments = []
         self._pending_confirmation = None
         self._request_started_at = NEVER
 
-    # The complete list ---------------------------------------------------------------------------
+    # Listing -------------------------------------------------------------------------------------
 
     def page_received(
         self, cluster_id: int, revision: int, keys: tuple[KeyChange, ...], more: bool
     ) -> PrefixUpdate | None:
-        """Take in a page of the listing; return the complete content after the last one.
+        """Handle a page of the listing; return the complete content after the last page.
 
         Args:
             cluster_id: The cluster's id in the header of the response.
             revision: The revision in the header of the response.
             keys: The keys of the page with their values.
-            more: Whether the member has further keys.
+            more: Whether there are further keys.
         """
         if not self._list_revision:
             self._begin_listing(cluster_id, revision)
@@ -182,17 +182,17 @@
         return update
 
     def _restart_listing(self, reason: FailureReason) -> None:
-        """Read everything again from the same member as soon as the budget allows: the member is not at fault."""
+        """Restart the listing as soon as the rate limit allows, at the same member, because it has not failed."""
         self._count_failure(reason)
         self._can_resume = False
         self._reset_watch()
         self.phase = WatchPhase.BACKOFF
         self._wait_until = NEVER
 
-    # The watch -----------------------------------------------------------------------------------
+    # Watching ------------------------------------------------------------------------------------
 
     def response_received(self, now: float, response: WatchResponse) -> PrefixUpdate | None:
-        """Take in a response of the watch; return the changes to pass on, if any."""
+        """Handle a response of the watch; return the changes to deliver, if any."""
         if response.cancelled is FailureReason.COMPACTED:
             self._restart_listing(FailureReason.COMPACTED)
             return None
@@ -205,22 +205,22 @@
         if response.created:
             self._watch_created(now)
             return None
-        return self._take_in_changes(response)
+        return self._collect_changes(response)
 
     def _watch_created(self, now: float) -> None:
-        # The revision of this response does not show whether the member lags, because the store itself may have been
-        # restored to an older state.  The confirmation does.
+        # A low revision in this response does not show that the member lags, because the store itself may have been
+        # restored to an older state.  The confirmation distinguishes the two.
         self.phase = WatchPhase.WATCHING
         self._next_confirmation_at = now
         self._request_started_at = NEVER
 
-    def _take_in_changes(self, response: WatchResponse) -> PrefixUpdate | None:
+    def _collect_changes(self, response: WatchResponse) -> PrefixUpdate | None:
         if not response.changes and not self._fragments:
             self._advance_to(response.revision)
             return None
         self._fragments.extend(response.changes)
         if response.fragment:
-            return None  # a revision may end in the next response
+            return None  # the next response may contain further changes of the same revision
         changes = self._fragments
         self._fragments = []
         return self._deliver_new_changes(changes)
@@ -248,9 +248,9 @@
     # Confirmations -------------------------------------------------------------------------------
 
     def due_actions(self, now: float) -> list[WatchAction]:
-        """Return what to do beside listening.
+        """Return the actions that are due while the watch is open.
 
-        Called when something was received, and after `listen_timeout_ms`.
+        Called after each response or confirmation, and when `receive_timeout_ms` has elapsed.
         """
         self._check_timeouts(now)
         if self.phase is WatchPhase.OPENING:
@@ -279,8 +279,8 @@
         self._next_progress_at = now + self.parameters.response_timeout_ms / PROGRESS_REQUESTS_PER_TIMEOUT
         return [RequestProgress()]
 
-    def listen_timeout_ms(self, now: float) -> float:
-        """Return how long to listen before `due_actions` is called again."""
+    def receive_timeout_ms(self, now: float) -> float:
+        """Return the time after which `due_actions` must be called, even if nothing was received."""
         timeout_ms = self.parameters.response_timeout_ms
         if self._request_started_at > NEVER:
             due_at = self._request_started_at + timeout_ms
@@ -291,7 +291,7 @@
         return max(0.0, due_at - now)
 
     def confirmation_received(self, now: float, cluster_id: int, revision: int) -> None:
-        """Take in the result of a confirming read: a revision that the cluster agreed on after the read began."""
+        """Handle the result of a confirming read: a committed revision, no older than the start of the read."""
         read_started_at = self._request_started_at
         self._request_started_at = NEVER
         self._next_confirmation_at = read_started_at + self.parameters.confirm_interval_ms
@@ -310,7 +310,7 @@
     # Failures ------------------------------------------------------------------------------------
 
     def step_failed(self, now: float, reason: FailureReason) -> None:
-        """Take in the failure of the step that was in progress: go to another member, or wait."""
+        """Handle the failure of the current step: select the next member, and wait for its spread or backoff."""
         if reason is FailureReason.COMPACTED:
             self._restart_listing(reason)
             return
@@ -319,15 +319,15 @@
         self.members.record_failure(now)
         self.phase = WatchPhase.BACKOFF
         self._discard_listing()
-        self._wait_until = self.members.choose(now)
+        self._wait_until = self.members.select(now)
 
     def members_replaced(self, member_count: int, now: float, same_members: bool) -> None:
-        """Go to the members of a new configuration now, without a backoff.
+        """Switch to the members of a new configuration at once, without a backoff.
 
         Args:
             member_count: The number of members.
             now: The reading of the clock.
-            same_members: Whether only the credentials changed, so that the local state can be continued.
+            same_members: Whether only the credentials changed, so that the local state can be resumed.
         """
         if not same_members:
             self._can_resume = False
@@ -340,7 +340,7 @@
         self._wait_until = now
 
     def age_ms(self, now: float) -> float:
-        """Return how old the local state may be; practically unlimited before the first listing."""
+        """Return the greatest age that the local state may have; practically infinite before the first listing."""
         return now - self.confirmed_at
 
     def _count_failure(self, reason: FailureReason) -> None:
--- a/kestreltrack/discovery/etcd/watch_types.py
+++ b/kestreltrack/discovery/etcd/watch_types.py
@@ -1,6 +1,6 @@
-"""The messages between the watch's state machine (`watch_state`) and what performs its steps (`source`).
+"""The inputs and outputs of the watch's state machine (`watch_state`), whose steps `source` performs.
 
-Times and spans are milliseconds.
+All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class WatchPhase(Enum):
-    """What the follower of a prefix does now."""
+    """The phase of the state machine."""
 
     BACKOFF = "backoff"
     LISTING = "listing"
@@ -26,13 +26,13 @@
 
     Attributes:
         member_count: The number of members of the cluster.
-        page_size: Keys on one page of the complete list.
-        confirm_interval_ms: The time between two confirmations.
-        response_timeout_ms: The time limit of any answer, and for the watch to reach a confirmed revision.
-        reconnect_spread_ms: The span over which senders that lost a member together reconnect.
-        max_backoff_ms: The longest backoff of a member that fails.
-        open_burst: How many watches or listings may be opened at once.
-        open_interval_ms: The time after which one more may be opened.
+        page_size: The number of keys per page of a listing.
+        confirm_interval_ms: The interval between two confirmations.
+        response_timeout_ms: The time limit for a response, and for the watch to reach a confirmed revision.
+        reconnect_spread_ms: Senders that lose a member at the same time reconnect at random times within this span.
+        max_backoff_ms: The upper limit of a member's backoff.
+        open_burst: The capacity of the token bucket for opening watches and listings.
+        open_interval_ms: The time in which the token bucket gains one token.
     """
 
     member_count: int
@@ -45,23 +45,23 @@
     open_interval_ms: float = 1000.0
 
 
-# Steps, performed one after another -----------------------------------------------------------------
+# Steps, which are performed sequentially -----------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Do nothing for `delay_ms`."""
+    """Wait for `delay_ms`."""
 
     delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class ReadPage:
-    """Read a page of keys with a linearizable read.
+    """Read one page of a listing with a linearizable read.
 
     Attributes:
         member_index: The member to read from.
-        after_key: The page begins behind this key; empty for the first page.
+        after_key: The last key of the previous page; empty for the first page.
         revision: The revision to read at; 0 for the newest.
     """
 
@@ -72,13 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenWatch:
-    """Open a watch at a member, for the changes from `start_revision` on."""
+    """Open a watch at a member for the changes since `start_revision`, inclusive."""
 
     member_index: int
     start_revision: int
 
 
-# Actions beside an open watch -----------------------------------------------------------------------
+# Actions while a watch is open ----------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestProgress:
-    """Ask the watch which revision it has reached."""
+    """Request a progress notification from the watch, which reports the revision it has reached."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,12 +101,12 @@
 Step = Wait | ReadPage | OpenWatch
 WatchAction = ConfirmRevision | RequestProgress | CloseWatch
 
-# What was received, and what is passed on -----------------------------------------------------------
+# Input and output data ------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class KeyChange:
-    """A key that was written, or deleted where `value` is `None`."""
+    """A write of a key, or its deletion if `value` is `None`."""
 
     key: bytes
     value: bytes | None
@@ -118,11 +118,11 @@
     """One response of a watch.
 
     Attributes:
-        cluster_id: The id of the cluster that answered.
+        cluster_id: The id of the cluster in the header of the response.
         revision: The newest revision that the member knows.
-        created: Whether the response says that the watch is open.
-        cancelled: Why the member ended the watch, if it did.
-        fragment: Whether the changes go on in the next response.
+        created: Whether the response confirms that the watch was created.
+        cancelled: Why the member cancelled the watch; `None` if it did not.
+        fragment: Whether the changes continue in the next response.
         changes: The changes, in order.
     """
 
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixUpdate:
-    """The complete content of the prefix at a revision, or the changes up to it in order, no revision in part."""
+    """The complete content of the prefix at a revision, or the ordered changes up to it, in whole revisions."""
 
     revision: int
     complete: bool
--- a/kestreltrack/etcdapi/__init__.py
+++ b/kestreltrack/etcdapi/__init__.py
@@ -1,8 +1,9 @@
-"""The messages and stubs of etcd's v3 API, generated from `rpc.proto` by `make proto`; for client and stand-in.
+"""Messages and stubs of etcd's v3 API, generated from `rpc.proto` by `make proto`; shared by the client and the fake.
 
-The sender imports this only where the operator's file names etcd as the source of the machine list.
+A sender imports this package only if the operator's file selects etcd as the source of the endpoint list.
 """
 
+# Messages of errors that etcd returns.
 NO_LEADER = "etcdserver: no leader"
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
 FUTURE = "etcdserver: mvcc: required revision is a future revision"
@@ -10,6 +11,6 @@
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The first key behind all that begin with the prefix: etcd's `range_end` for it (a zero byte: no end)."""
-    stem = prefix.rstrip(b"\xff")
-    return stem[:-1] + bytes([stem[-1] + 1]) if stem else b"\0"
+    """Return etcd's `range_end` for a prefix: the first key after all with the prefix, or a zero byte for no end."""
+    trimmed = prefix.rstrip(b"\xff")
+    return trimmed[:-1] + bytes([trimmed[-1] + 1]) if trimmed else b"\0"
