--- a/tests/etcd_rig.py
+++ b/tests/etcd_harness.py
@@ -1,4 +1,7 @@
-"""A follower of a fake etcd cluster in one process: what it received, and waits for conditions, not for times."""
+"""A harness that runs an endpoint source against a fake etcd cluster in one process and records its updates.
+
+Tests wait for conditions, not for fixed times.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 PREFIX = "/t/"
 WAIT_TIMEOUT_S = 20.0
 CHECK_INTERVAL_S = 0.01
-FAST = WatchParameters(
+FAST_PARAMETERS = WatchParameters(
     member_count=1,
     page_size=50,
     confirm_interval_ms=50.0,
@@ -36,7 +39,7 @@
 
 
 def entry_value(number: int, state: str = "up", port: int = 0) -> str:
-    """Return the value of the key of endpoint `number`."""
+    """Return the value of the key of the endpoint `u{number}`."""
     return json.dumps(
         {
             "endpoint": f"127.0.0.1:{port or 1000 + number}",
@@ -50,12 +53,12 @@
     )
 
 
-class Rig:
-    """One cluster, one source that follows it, and the list as the source published it.
+class EtcdHarness:
+    """A fake cluster, a source that follows it, and the endpoint list with the source's updates applied.
 
     Attributes:
-        updates: Each update, in order.
-        changes: The uid and state of each endpoint of the updates that are not complete.
+        updates: All updates, in order.
+        changes: The uid and state of each endpoint in the incremental updates, in order.
     """
 
     def __init__(self, members: int = 3, users: dict[str, str] | None = None, **parameters: Any) -> None:
@@ -65,7 +68,7 @@
         self.updates = list[EndpointListUpdate]()
         self.changes = list[tuple[str, EndpointLifecycle]]()
         self.source: EtcdEndpointSource
-        self._parameters = replace(FAST, member_count=members, **parameters)
+        self._parameters = replace(FAST_PARAMETERS, member_count=members, **parameters)
         self._updated = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
@@ -102,7 +105,7 @@
             await self.cluster.apply_fault(member.number, fault)
 
     def states(self) -> dict[str, str]:
-        """Return the state of each endpoint that the follower has."""
+        """Return the state of each endpoint in the list."""
         listed = [self.endpoint_list.get(uid) for uid in self.endpoint_list.uids()]
         return {endpoint.uid: endpoint.state.value for endpoint in listed if endpoint is not None}
 
@@ -110,16 +113,16 @@
         """Return the state of each endpoint in the store."""
         from kestreltrack.etcdapi import rpc_pb2 as pb
 
-        answer = self.cluster.store.range(pb.RangeRequest(key=b"/t/endpoints/", range_end=b"/t/endpoints0"))
-        return {kv.key.decode().rpartition("/")[2]: json.loads(kv.value)["state"] for kv in answer.kvs}
+        response = self.cluster.store.range(pb.RangeRequest(key=b"/t/endpoints/", range_end=b"/t/endpoints0"))
+        return {kv.key.decode().rpartition("/")[2]: json.loads(kv.value)["state"] for kv in response.kvs}
 
     def complete_updates(self) -> list[EndpointListUpdate]:
         return [update for update in self.updates if update.complete]
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until a condition holds; a failure of the follower ends the wait."""
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition holds; raise the source's error if it fails meanwhile."""
         async with asyncio.timeout(WAIT_TIMEOUT_S):
-            while not holds():
+            while not condition():
                 if self._task and self._task.done():
                     self._task.result()
                     raise AssertionError("the source ended")
@@ -129,11 +132,11 @@
                 except TimeoutError:
                     continue
 
-    async def until_caught_up(self) -> None:
-        await self.until(lambda: self.states() == self.stored_states())
+    async def wait_until_caught_up(self) -> None:
+        await self.wait_until(lambda: self.states() == self.stored_states())
 
-    async def until_changed(self, uid: str, state: EndpointLifecycle) -> None:
-        await self.until(lambda: (uid, state) in self.changes)
+    async def wait_until_changed(self, uid: str, state: EndpointLifecycle) -> None:
+        await self.wait_until(lambda: (uid, state) in self.changes)
 
     def watched_member(self) -> int:
         return self.source.watch_state.members.current
@@ -146,41 +149,45 @@
         await self.cluster.stop()
 
 
-def play(story: Callable[[Rig], Awaitable[None]], create_rig: Callable[[], Rig] = Rig, **start: Any) -> None:
-    """Run a story on a rig that is started before it and stopped after it."""
+def run_scenario(
+    scenario: Callable[[EtcdHarness], Awaitable[None]],
+    create_harness: Callable[[], EtcdHarness] = EtcdHarness,
+    **start: Any,
+) -> None:
+    """Start a harness, run a scenario on it, and stop the harness."""
 
     async def run() -> None:
-        rig = create_rig()
-        await rig.start(**start)
+        harness = create_harness()
+        await harness.start(**start)
         try:
-            await story(rig)
+            await scenario(harness)
         finally:
-            await rig.stop()
+            await harness.stop()
 
     asyncio.run(run())
 
 
 def create_certificates(folder: Path) -> dict[str, str]:
-    """Write the files of two authorities, and of certificates that the first one signed.
+    """Write the certificates of two CAs, and certificates with keys that the first CA signed.
 
     Returns:
-        The paths: `ca` and `stranger` for the authorities; `good`, `expired`, `named` (another name) and `client`
-        for the certificates, each with its key as `NAME_key`.
+        The paths: `ca` and `untrusted_ca` for the CAs; `valid`, `expired`, `other_name` and `client` for the
+        certificates, each with its key as `NAME_key`.
     """
     import trustme
 
     ca = trustme.CA()
-    stranger = trustme.CA()
-    long_ago = datetime.datetime(2020, 1, 1, tzinfo=datetime.UTC)
+    untrusted_ca = trustme.CA()
+    expiry = datetime.datetime(2020, 1, 1, tzinfo=datetime.UTC)
     certificates = {
-        "good": ca.issue_cert("127.0.0.1"),
-        "expired": ca.issue_cert("127.0.0.1", not_after=long_ago),
-        "named": ca.issue_cert("etcd.example"),
+        "valid": ca.issue_cert("127.0.0.1"),
+        "expired": ca.issue_cert("127.0.0.1", not_after=expiry),
+        "other_name": ca.issue_cert("etcd.example"),
         "client": ca.issue_cert("sender@example.org"),
     }
-    files = {"ca": str(folder / "ca.pem"), "stranger": str(folder / "stranger.pem")}
+    files = {"ca": str(folder / "ca.pem"), "untrusted_ca": str(folder / "untrusted_ca.pem")}
     ca.cert_pem.write_to_path(files["ca"])
-    stranger.cert_pem.write_to_path(files["stranger"])
+    untrusted_ca.cert_pem.write_to_path(files["untrusted_ca"])
     for name, certificate in certificates.items():
         files[name] = str(folder / f"{name}.pem")
         files[f"{name}_key"] = str(folder / f"{name}.key")
--- a/tests/test_etcd_scenarios.py
+++ b/tests/test_etcd_scenarios.py
@@ -85,7 +85,7 @@
         {SUBMIT.format("m2")}
         {DELIVERED_BY_N2.format("m2")}
         """,
-    "a malformed operator's file leaves the old one in force": f"""
+    "a malformed operator's file is rejected and the old one stays in effect": f"""
         sender source nowhere
         sender expect config.reload_rejected
         e put draining n1
@@ -110,20 +110,20 @@
     asyncio.run(ScenarioHarness(tmp_path, SETTINGS, etcd=True).run(text))
 
 
-def test_list_of_another_source_keeps_retry_after_drains_and_health() -> None:
-    driver = Relay(entry(1, "a"), entry(1, "b"), entry(2, "c"))
-    driver.arrive(1, "keyed")
-    driver.end("m1", Outcome.REJECTED, retry_after_ms=4000.0)
+def test_list_from_another_source_preserves_retry_after_drains_and_health() -> None:
+    relay = Relay(entry(1, "a"), entry(1, "b"), entry(2, "c"))
+    relay.arrive(1, "keyed")
+    relay.end("m1", Outcome.REJECTED, retry_after_ms=4000.0)
     for _ in range(4):
-        driver.arrive(2)
-    failing = [id_ for id_ in driver.tries if id_ != "m1"]
+        relay.arrive(2)
+    failing = [id_ for id_ in relay.tries if id_ != "m1"]
     for id_ in failing:
-        driver.end(id_, Outcome.ERROR)
-    health = driver.policy.destinations[2].limits
+        relay.end(id_, Outcome.ERROR)
+    health = relay.policy.destinations[2].limits
     complete_list = [entry(1, "a", lifecycle=EndpointLifecycle.DRAINING), entry(1, "b"), entry(2, "c")]
 
-    assert "m1" not in sends(driver.do(EndpointsUpdated(complete_list, complete=True)))
+    assert "m1" not in sends(relay.do(EndpointsUpdated(complete_list, complete=True)))
 
-    assert driver.policy.destinations[2].limits is health and health and health.breaker.consecutive_failures
-    assert "m1" not in sends(driver.wait(3900)), "the retry-after stays in force"
-    assert "m1" in sends(driver.wait(3000)) and driver.where["m1"] == "b"
+    assert relay.policy.destinations[2].limits is health and health and health.breaker.consecutive_failures
+    assert "m1" not in sends(relay.wait(3900)), "the retry-after stays in effect"
+    assert "m1" in sends(relay.wait(3000)) and relay.where["m1"] == "b"
