--- a/tests/test_watch_state.py
+++ b/tests/test_watch_state.py
@@ -1,7 +1,7 @@
-"""The watch's state machine against a plain model of etcd's history.
+"""The state machine of the watch against a model of etcd's history.
 
-Whatever is received in whatever order, the follower ends with the store's content and passes on each change exactly
-once; each planted defect is detected.
+Under any interleaving of writes, faults and responses, the watcher ends with the store's content and delivers each
+change exactly once.  The model detects every mutant of the state machine.
 """
 
 from __future__ import annotations
@@ -12,8 +12,7 @@
 from typing import Any
 
 import pytest
-from hypothesis import HealthCheck, settings
-from hypothesis import Phase as Stage
+from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
@@ -38,28 +37,28 @@
 PARAMETERS = WatchParameters(member_count=MEMBER_COUNT, page_size=2, open_interval_ms=200.0)
 
 
-class Model(RuleBasedStateMachine):
-    """A store with members that lag, streams that break and repeat, and one follower."""
+class EtcdModel(RuleBasedStateMachine):
+    """A store whose members lag, streams that break and repeat responses, and one watcher."""
 
-    create_follower: Callable[[], WatchStateMachine] = staticmethod(
+    create_watcher: Callable[[], WatchStateMachine] = staticmethod(
         lambda: WatchStateMachine(PARAMETERS, random.Random(3))
     )
 
     def __init__(self) -> None:
         super().__init__()
-        self.follower = self.create_follower()
+        self.watcher = self.create_watcher()
         self.now = 0.0
-        # The store: its history, and what each member has of it.
+        # The store: its history, and the revision that each member has reached.
         self.cluster_id = 1
         self.revision = 2
         self.compacted_revision = 0
-        self.events = [KeyChange(key, b"0", 2) for key in KEYS]  # three pages
+        self.events = [KeyChange(key, b"0", 2) for key in KEYS]  # three pages of a listing
         self.member_revisions = [2] * MEMBER_COUNT
         self.lagging_members = set[int]()
-        # What the follower has passed on.
+        # What the watcher has delivered.
         self.content = dict[bytes, bytes]()
         self.delivered_revision = 0
-        # The open watch: its member and the next revision to send, responses on the way, and pending requests.
+        # The open watch: its member and the next revision to send, responses in flight, and pending requests.
         self.watch: tuple[int, int] | None = None
         self.pending_responses = list[WatchResponse]()
         self.last_responses = list[WatchResponse]()
@@ -79,7 +78,7 @@
         writes=st.dictionaries(st.sampled_from(KEYS), st.one_of(st.none(), st.binary(max_size=1)), max_size=3)
     )
     def write(self, writes: dict[bytes, bytes | None]) -> None:
-        """Commit one transaction: one revision, also where it touches only keys outside the prefix."""
+        """Commit a transaction; without changes it stands for one that writes only keys outside the prefix."""
         self.revision += 1
         content = self.content_at(self.revision)
         for key, value in writes.items():
@@ -104,7 +103,7 @@
         self.member_revisions[member] = self.revision
 
     @rule(same_cluster=st.booleans(), lost_revisions=st.integers(0, 3))
-    def restored_from_a_backup(self, same_cluster: bool, lost_revisions: int) -> None:
+    def restore_from_backup(self, same_cluster: bool, lost_revisions: int) -> None:
         self.cluster_id += not same_cluster
         self.revision = max(1, self.revision - lost_revisions - 1)
         self.compacted_revision = 0
@@ -113,13 +112,13 @@
         self.lagging_members = set()
         self.connection_breaks()
         if same_cluster:
-            # The history may not grow past the follower unnoticed: no field of the API would show it.
-            self.heal_and_follow()
+            # No field of the API would show a restore after which the new history passes the watcher's revision.
+            self.clear_faults_and_catch_up()
 
-    # The follower's steps ------------------------------------------------------------------------
+    # The watcher ---------------------------------------------------------------------------------
 
     def receive_update(self, update: PrefixUpdate | None) -> None:
-        """Check what the follower passes on, and apply it."""
+        """Check an update that the watcher delivers, and apply it."""
         if update is None:
             return
         if update.complete:
@@ -131,7 +130,7 @@
             due = [
                 event for event in self.events if self.delivered_revision < event.revision <= update.revision
             ]
-            assert list(update.changes) == due, "each change exactly once, in order, revisions complete"
+            assert list(update.changes) == due, "each change exactly once, in order, in whole revisions"
             for change in update.changes:
                 apply_change(self.content, change)
         self.delivered_revision = update.revision
@@ -147,13 +146,13 @@
     def connection_breaks(self) -> None:
         if self.watch:
             self.watch_closed()
-            self.follower.step_failed(self.now, FailureReason.UNREACHABLE)
+            self.watcher.step_failed(self.now, FailureReason.UNREACHABLE)
 
     @rule(fails=st.booleans())
     def step(self, fails: bool = False) -> None:
         if self.watch:
             return
-        step = self.follower.next_step(self.now)
+        step = self.watcher.next_step(self.now)
         if isinstance(step, Wait):
             assert step.delay_ms > 0
             self.now += step.delay_ms
@@ -167,21 +166,21 @@
     def read_page(self, step: ReadPage, fails: bool) -> None:
         if fails or step.member_index in self.lagging_members:
             self.now += PARAMETERS.response_timeout_ms
-            self.follower.step_failed(self.now, FailureReason.TIMEOUT)
+            self.watcher.step_failed(self.now, FailureReason.TIMEOUT)
         elif 0 < step.revision < self.compacted_revision:
-            self.follower.step_failed(self.now, FailureReason.COMPACTED)
+            self.watcher.step_failed(self.now, FailureReason.COMPACTED)
         elif step.revision > self.revision:
-            self.follower.step_failed(self.now, FailureReason.INVALID_RESPONSE)
+            self.watcher.step_failed(self.now, FailureReason.INVALID_RESPONSE)
         else:
             content = self.content_at(step.revision or self.revision)
             remaining = [KeyChange(key, value, 0) for key, value in content.items() if key > step.after_key]
             page = tuple(remaining[: PARAMETERS.page_size])
             more = len(page) < len(remaining)
-            self.receive_update(self.follower.page_received(self.cluster_id, self.revision, page, more))
+            self.receive_update(self.watcher.page_received(self.cluster_id, self.revision, page, more))
 
     @rule(revision_count=st.integers(1, 4), fragmented=st.booleans())
     def member_sends(self, revision_count: int = 4, fragmented: bool = False) -> None:
-        """Let the member put its next responses on the stream."""
+        """Send the member's next responses on the stream."""
         if not self.watch:
             return
         member, start = self.watch
@@ -219,19 +218,19 @@
         if not self.pending_responses:
             return
         response = self.pending_responses.pop(0)
-        repeatable = response.changes and not response.fragment and not self.follower._fragments
+        repeatable = response.changes and not response.fragment and not self.watcher._fragments
         self.last_responses = [response] if repeatable else []
-        self.receive_update(self.follower.response_received(self.now, response))
-        self.close_watch_that_was_left()
+        self.receive_update(self.watcher.response_received(self.now, response))
+        self.close_abandoned_watch()
 
     @rule()
-    def a_write_falls_between_two_pages(self) -> None:
+    def write_between_two_pages(self) -> None:
         self.step(fails=False)
         self.write({KEYS[0]: b"5", KEYS[4]: b"6"})
         self.step(fails=False)
 
     @rule()
-    def a_batch_comes_twice(self) -> None:
+    def batch_is_repeated(self) -> None:
         self.write({key: b"7" for key in KEYS[:2]})
         self.member_sends(revision_count=4)
         while self.pending_responses:
@@ -240,7 +239,7 @@
         self.response_arrives()
 
     @rule(received_count=st.integers(1, 2))
-    def a_batch_is_cut_in_the_middle(self, received_count: int) -> None:
+    def connection_breaks_within_batch(self, received_count: int) -> None:
         self.write({key: b"9" for key in KEYS[:3]})
         self.write({key: b"8" for key in KEYS[1:]})
         self.member_sends(revision_count=4, fragmented=True)
@@ -252,30 +251,30 @@
     def time_passes(self, span_ms: float) -> None:
         self.now += span_ms
         if self.watch:
-            for action in self.follower.due_actions(self.now):
+            for action in self.watcher.due_actions(self.now):
                 self.confirmation_requested |= isinstance(action, ConfirmRevision)
                 self.progress_requested |= isinstance(action, RequestProgress)
                 if isinstance(action, CloseWatch):
                     self.watch_closed()
 
-    def close_watch_that_was_left(self) -> None:
-        if self.watch and self.follower.phase not in (WatchPhase.OPENING, WatchPhase.WATCHING):
+    def close_abandoned_watch(self) -> None:
+        if self.watch and self.watcher.phase not in (WatchPhase.OPENING, WatchPhase.WATCHING):
             self.watch_closed()
 
     @rule()
     def confirmation_arrives(self) -> None:
         if self.confirmation_requested and self.watch and self.watch[0] not in self.lagging_members:
             self.confirmation_requested = False
-            self.follower.confirmation_received(self.now, self.cluster_id, self.revision)
-            self.close_watch_that_was_left()
+            self.watcher.confirmation_received(self.now, self.cluster_id, self.revision)
+            self.close_abandoned_watch()
 
-    # What must hold ------------------------------------------------------------------------------
+    # Invariants ----------------------------------------------------------------------------------
 
     @invariant()
     def skipped_revisions_held_no_change(self) -> None:
-        """A progress response may advance the revision only where no change in between was left out."""
-        advanced_to = self.follower.delivered_revision
-        same_history = self.follower._can_resume and self.cluster_id == self.follower.cluster_id
+        """A progress response may advance the revision only if no change in between was skipped."""
+        advanced_to = self.watcher.delivered_revision
+        same_history = self.watcher._can_resume and self.cluster_id == self.watcher.cluster_id
         if advanced_to > self.delivered_revision and same_history:
             if advanced_to <= self.revision:
                 assert not [
@@ -283,15 +282,15 @@
                 ]
             self.delivered_revision = advanced_to
 
-    def follows_confirmed(self) -> bool:
+    def is_caught_up_and_confirmed(self) -> bool:
         return (
-            self.follower.confirmed_at >= self.now - 500.0
-            and self.follower.delivered_revision == self.revision
-            and self.follower.phase is WatchPhase.WATCHING
+            self.watcher.confirmed_at >= self.now - 500.0
+            and self.watcher.delivered_revision == self.revision
+            and self.watcher.phase is WatchPhase.WATCHING
         )
 
-    def heal_and_follow(self) -> None:
-        """Mend all faults; then the follower has the store's content, and its age is known."""
+    def clear_faults_and_catch_up(self) -> None:
+        """Clear all faults, and check that the watcher reaches the store's content and confirms its age."""
         for member in range(MEMBER_COUNT):
             self.catch_up(member)
         for _ in range(300):
@@ -301,40 +300,40 @@
                 self.response_arrives()
             self.time_passes(50.0)
             self.confirmation_arrives()
-            if self.follows_confirmed():
+            if self.is_caught_up_and_confirmed():
                 break
         assert self.content == self.content_at(self.revision)
-        assert self.follower.delivered_revision == self.revision
-        assert self.follower.age_ms(self.now) < 2000.0
+        assert self.watcher.delivered_revision == self.revision
+        assert self.watcher.age_ms(self.now) < 2000.0
         self.delivered_revision = self.revision
 
     def teardown(self) -> None:
-        self.heal_and_follow()
+        self.clear_faults_and_catch_up()
 
 
 def apply_change(content: dict[bytes, bytes], change: KeyChange) -> None:
-    """Apply a change; a key that is written again moves to the end."""
+    """Apply a change; a key that is overwritten moves to the end."""
     content.pop(change.key, None)
     if change.value is not None:
         content[change.key] = change.value
 
 
-CI = settings(
+MODEL_SETTINGS = settings(
     max_examples=300,
     stateful_step_count=40,
     deadline=None,
     derandomize=True,
     database=None,
-    phases=[Stage.generate],
+    phases=[Phase.generate],
     suppress_health_check=list(HealthCheck),
 )
 
 
 def test_any_interleaving_ends_with_the_stores_content() -> None:
-    run_state_machine_as_test(Model, settings=CI)
+    run_state_machine_as_test(EtcdModel, settings=MODEL_SETTINGS)
 
 
-# Planted defects -----------------------------------------------------------------------------------
+# Mutants: variants of the state machine with one defect each -----------------------------------------
 
 
 class IgnoresCompaction(WatchStateMachine):
@@ -344,7 +343,7 @@
         return super().response_received(now, response)
 
 
-class SkipsARevision(WatchStateMachine):
+class SkipsRevision(WatchStateMachine):
     def next_step(self, now: float) -> Any:
         step = super().next_step(now)
         if isinstance(step, OpenWatch) and step.start_revision > 3:
@@ -358,12 +357,12 @@
         return PrefixUpdate(self.delivered_revision, False, tuple(changes))
 
 
-class DeliversHalfARevision(WatchStateMachine):
+class DeliversPartialRevisions(WatchStateMachine):
     def response_received(self, now: float, response: WatchResponse) -> PrefixUpdate | None:
         return super().response_received(now, replace(response, fragment=False))
 
 
-class KeepsFragmentsOfABrokenStream(WatchStateMachine):
+class KeepsFragmentsOfBrokenStream(WatchStateMachine):
     def step_failed(self, now: float, reason: FailureReason) -> None:
         fragments = self._fragments
         super().step_failed(now, reason)
@@ -376,7 +375,7 @@
         return step
 
 
-class AcceptsAnotherCluster(WatchStateMachine):
+class AcceptsOtherCluster(WatchStateMachine):
     def response_received(self, now: float, response: WatchResponse) -> PrefixUpdate | None:
         return super().response_received(now, replace(response, cluster_id=self.cluster_id))
 
@@ -397,67 +396,67 @@
         return replace(step, revision=0) if isinstance(step, ReadPage) else step
 
 
-DEFECTS = [
+MUTANTS = [
     IgnoresCompaction,
-    SkipsARevision,
+    SkipsRevision,
     DeliversRepeats,
-    DeliversHalfARevision,
-    KeepsFragmentsOfABrokenStream,
-    AcceptsAnotherCluster,
+    DeliversPartialRevisions,
+    KeepsFragmentsOfBrokenStream,
+    AcceptsOtherCluster,
     NeverConfirms,
     ListsAtChangingRevisions,
 ]
 
 
-@pytest.mark.parametrize("defect", DEFECTS, ids=lambda defect: defect.__name__)
-def test_planted_defect_is_detected(defect: type[WatchStateMachine]) -> None:
-    class ModelWithDefect(Model):
-        create_follower = staticmethod(lambda: defect(PARAMETERS, random.Random(3)))
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.__name__)
+def test_mutant_is_detected(mutant: type[WatchStateMachine]) -> None:
+    class ModelWithMutant(EtcdModel):
+        create_watcher = staticmethod(lambda: mutant(PARAMETERS, random.Random(3)))
 
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(ModelWithDefect, settings=settings(CI, max_examples=1000))
+        run_state_machine_as_test(ModelWithMutant, settings=settings(MODEL_SETTINGS, max_examples=1000))
 
 
-# Reconnections: spread, budget, backoff --------------------------------------------------------------
+# Reconnection: spread, rate limit, backoff -------------------------------------------------------------
 
 
-def test_senders_that_lose_a_member_together_reconnect_spread_out() -> None:
+def test_reconnections_of_senders_that_lose_a_member_together_are_spread() -> None:
     delays_ms = []
     for seed in range(300):
-        follower = WatchStateMachine(replace(PARAMETERS, reconnect_spread_ms=200.0), random.Random(seed))
-        follower.members.current = 0
-        follower.step_failed(0.0, FailureReason.UNREACHABLE)
-        step = follower.next_step(0.0)
-        assert isinstance(step, Wait) and follower.members.current != 0, "another member, not this one"
+        watcher = WatchStateMachine(replace(PARAMETERS, reconnect_spread_ms=200.0), random.Random(seed))
+        watcher.members.current = 0
+        watcher.step_failed(0.0, FailureReason.UNREACHABLE)
+        step = watcher.next_step(0.0)
+        assert isinstance(step, Wait) and watcher.members.current != 0, "another member is selected"
         delays_ms.append(step.delay_ms)
 
     counts_by_tenth = [sum(20.0 * n <= delay < 20.0 * (n + 1) for delay in delays_ms) for n in range(10)]
     assert max(delays_ms) <= 200.0 and min(counts_by_tenth) > 0 and max(counts_by_tenth) < 60
 
 
-def test_openings_stay_within_the_budget_whatever_fails() -> None:
+def test_any_failures_keep_openings_within_the_rate_limit() -> None:
     parameters = replace(PARAMETERS, open_burst=3.0, open_interval_ms=1000.0)
-    follower = WatchStateMachine(parameters, random.Random(1))
+    watcher = WatchStateMachine(parameters, random.Random(1))
     now = 0.0
     openings = 0
     while now < 60_000.0:
-        step = follower.next_step(now)
+        step = watcher.next_step(now)
         if isinstance(step, Wait):
             now += step.delay_ms
         else:
             openings += 1
             reason = FailureReason.COMPACTED if openings % 2 else FailureReason.UNREACHABLE
-            follower.step_failed(now, reason)
+            watcher.step_failed(now, reason)
     assert openings <= 3 + 61
 
 
 def test_backoff_of_a_failing_member_grows_within_bounds() -> None:
-    follower = WatchStateMachine(replace(PARAMETERS, member_count=1, open_burst=100.0), random.Random(1))
+    watcher = WatchStateMachine(replace(PARAMETERS, member_count=1, open_burst=100.0), random.Random(1))
     backoffs_ms = list[float]()
     now = 0.0
     for _ in range(12):
-        follower.step_failed(now, FailureReason.UNREACHABLE)
-        retry_at = follower.members.backoffs[0].retry_at
+        watcher.step_failed(now, FailureReason.UNREACHABLE)
+        retry_at = watcher.members.backoffs[0].retry_at
         backoffs_ms.append(retry_at - now)
         now = retry_at
     assert 100.0 <= backoffs_ms[0] <= 200.0 and 2500.0 <= backoffs_ms[-1] <= 5000.0
