--- a/tests/independent_aetcd.py
+++ b/tests/aetcd_compatibility_check.py
@@ -1,8 +1,9 @@
-"""The client library aetcd against the fake cluster; a program, as its messages have the same names as ours.
+"""Checks the fake cluster with the client library aetcd.
 
-    python independent_aetcd.py HOST:PORT
+    python aetcd_compatibility_check.py HOST:PORT
 
-Exits with 0 if puts, ranges, transactions, leases and watches behave as those of etcd.
+Exits with 0 if puts, ranges, transactions, leases and watches behave as those of etcd.  A separate program, because
+the protobuf messages of aetcd have the same names as those of `kestreltrack.etcdapi`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,9 @@
         await transactions(client)
         await leases(client)
         await watches(client)
-        members = [m async for m in client.members()] if hasattr(client.members, "__aiter__") else None
+        members = (
+            [member async for member in client.members()] if hasattr(client.members, "__aiter__") else None
+        )
         assert members is None or members
 
 
--- a/tests/independent_grpcio.py
+++ b/tests/grpcio_compatibility_check.py
@@ -1,8 +1,9 @@
-"""Another gRPC implementation (grpcio, C core) with the project's messages against the fake cluster; a program.
+"""Checks the fake cluster with grpcio, another gRPC implementation (C core), and the messages of `etcdapi`.
 
-    python independent_grpcio.py HOST:PORT
+    python grpcio_compatibility_check.py HOST:PORT
 
-Checks errors with etcd's codes and texts, compaction, progress and cancel on one stream.
+Exits with 0 if errors have etcd's codes and messages, and compaction, and progress and cancellation on one watch
+stream, behave as those of etcd.
 """
 
 from __future__ import annotations
@@ -20,22 +21,22 @@
 from kestreltrack.etcdapi import rpc_pb2 as pb
 
 
-def unary(channel: Any, path: str, response_type: Any) -> Any:
+def unary_call(channel: Any, path: str, response_type: Any) -> Any:
     return channel.unary_unary(
         f"/etcdserverpb.{path}",
-        request_serializer=lambda m: m.SerializeToString(),
+        request_serializer=lambda message: message.SerializeToString(),
         response_deserializer=response_type.FromString,
     )
 
 
 async def main(address: str) -> None:
     async with grpc.aio.insecure_channel(address) as channel:
-        put = unary(channel, "KV/Put", pb.PutResponse)
-        read = unary(channel, "KV/Range", pb.RangeResponse)
-        compact = unary(channel, "KV/Compact", pb.CompactionResponse)
+        put = unary_call(channel, "KV/Put", pb.PutResponse)
+        read = unary_call(channel, "KV/Range", pb.RangeResponse)
+        compact = unary_call(channel, "KV/Compact", pb.CompactionResponse)
         start = (await put(pb.PutRequest(key=b"/g/1", value=b"1"))).header.revision
-        for n in range(5):
-            await put(pb.PutRequest(key=b"/g/1", value=b"%d" % n))
+        for number in range(5):
+            await put(pb.PutRequest(key=b"/g/1", value=b"%d" % number))
         page = await read(pb.RangeRequest(key=b"/g/", range_end=b"/g0", limit=1, revision=start))
         assert page.kvs[0].value == b"1" and page.header.revision == start + 5
         await compact(pb.CompactionRequest(revision=start + 3))
@@ -47,13 +48,15 @@
             put(pb.PutRequest(key=b"x", lease=5)), "NOT_FOUND", "etcdserver: requested lease not found"
         )
         duplicate_key = pb.TxnRequest(success=[pb.RequestOp(request_put=pb.PutRequest(key=b"x"))] * 2)
-        transact = unary(channel, "KV/Txn", pb.TxnResponse)
+        transact = unary_call(channel, "KV/Txn", pb.TxnResponse)
         await assert_rejected(
             transact(duplicate_key), "INVALID_ARGUMENT", "etcdserver: duplicate key given in txn request"
         )
         await watches(channel, put, start)
-        status = await unary(channel, "Maintenance/Status", pb.StatusResponse)(pb.StatusRequest())
-        members = await unary(channel, "Cluster/MemberList", pb.MemberListResponse)(pb.MemberListRequest())
+        status = await unary_call(channel, "Maintenance/Status", pb.StatusResponse)(pb.StatusRequest())
+        members = await unary_call(channel, "Cluster/MemberList", pb.MemberListResponse)(
+            pb.MemberListRequest()
+        )
         assert status.leader and status.raftIndex >= start and len(members.members) == 1
 
 
@@ -69,7 +72,7 @@
 async def watches(channel: Any, put: Any, start: int) -> None:
     stream = channel.stream_stream(
         "/etcdserverpb.Watch/Watch",
-        request_serializer=lambda m: m.SerializeToString(),
+        request_serializer=lambda message: message.SerializeToString(),
         response_deserializer=pb.WatchResponse.FromString,
     )()
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -105,7 +105,7 @@
 def test_an_independent_client_finds_the_fake_to_behave_as_etcd(client: str) -> None:
     with fake_etcd() as (members, _):
         result = subprocess.run(
-            [sys.executable, str(ROOT / f"tests/independent_{client}.py"), members[0]],
+            [sys.executable, str(ROOT / f"tests/{client}_compatibility_check.py"), members[0]],
             env=ENV | {"PYTHONPATH": ""},
             capture_output=True,
             text=True,
