--- a/kestreltrack/discovery/etcd/client.py
+++ b/kestreltrack/discovery/etcd/client.py
@@ -16,7 +16,7 @@
 from grpclib.protocol import H2Protocol
 
 from kestreltrack.discovery.etcd.errors import EtcdError, FailureReason
-from kestreltrack.etcdapi import BAD_TOKEN, NO_LEADER
+from kestreltrack.etcdapi import INVALID_AUTH_TOKEN, NO_LEADER
 from kestreltrack.etcdapi import rpc_grpc as rpc
 from kestreltrack.etcdapi import rpc_pb2 as pb
 from kestreltrack.http1 import split_address
@@ -81,7 +81,7 @@
         return FailureReason.COMPACTED
     if NO_LEADER in message or "no leader" in message:
         return FailureReason.NO_LEADER
-    if BAD_TOKEN in message or "invalid auth token" in message:
+    if INVALID_AUTH_TOKEN in message or "invalid auth token" in message:
         return FailureReason.INVALID_TOKEN
     if "permission denied" in message:
         return FailureReason.DENIED
--- a/kestreltrack/etcdapi/__init__.py
+++ b/kestreltrack/etcdapi/__init__.py
@@ -6,8 +6,8 @@
 # Messages of errors that etcd returns.
 NO_LEADER = "etcdserver: no leader"
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
-FUTURE = "etcdserver: mvcc: required revision is a future revision"
-BAD_TOKEN = "etcdserver: invalid auth token"
+FUTURE_REVISION = "etcdserver: mvcc: required revision is a future revision"
+INVALID_AUTH_TOKEN = "etcdserver: invalid auth token"
 
 
 def prefix_end(prefix: bytes) -> bytes:
--- a/kestreltrack/testing/fakes/etcd/auth.py
+++ b/kestreltrack/testing/fakes/etcd/auth.py
@@ -7,7 +7,7 @@
 
 from grpclib import Status
 
-from kestreltrack.etcdapi import BAD_TOKEN
+from kestreltrack.etcdapi import INVALID_AUTH_TOKEN
 from kestreltrack.testing.fakes.etcd.store import rpc_error
 
 
@@ -50,4 +50,4 @@
         if token is None:
             raise rpc_error(Status.INVALID_ARGUMENT, "user name is empty")
         if self.tokens.get(token, 0.0) <= now:
-            raise rpc_error(Status.UNAUTHENTICATED, BAD_TOKEN)
+            raise rpc_error(Status.UNAUTHENTICATED, INVALID_AUTH_TOKEN)
--- a/kestreltrack/testing/fakes/etcd/store.py
+++ b/kestreltrack/testing/fakes/etcd/store.py
@@ -15,7 +15,7 @@
 
 from grpclib import GRPCError, Status
 
-from kestreltrack.etcdapi import COMPACTED, FUTURE
+from kestreltrack.etcdapi import COMPACTED, FUTURE_REVISION
 from kestreltrack.etcdapi import rpc_pb2 as pb
 
 SORT_KEYS = {
@@ -124,7 +124,7 @@
         if not request.key:
             raise rpc_error(Status.INVALID_ARGUMENT, "key is not provided")
         if request.revision > newest:
-            raise rpc_error(Status.OUT_OF_RANGE, FUTURE)
+            raise rpc_error(Status.OUT_OF_RANGE, FUTURE_REVISION)
         if 0 < request.revision < self.compacted:
             raise rpc_error(Status.OUT_OF_RANGE, COMPACTED)
         revision = request.revision or newest
@@ -283,7 +283,7 @@
         if revision <= self.compacted:
             raise rpc_error(Status.OUT_OF_RANGE, COMPACTED)
         if revision > self.revision:
-            raise rpc_error(Status.OUT_OF_RANGE, FUTURE)
+            raise rpc_error(Status.OUT_OF_RANGE, FUTURE_REVISION)
         self.compacted = revision
         self._events = {rev: events for rev, events in self._events.items() if rev >= revision}
         remaining = {key: _compact_versions(kvs, revision) for key, kvs in self._versions.items()}
--- a/tests/grpcio_compatibility_check.py
+++ b/tests/grpcio_compatibility_check.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from kestreltrack.etcdapi import COMPACTED, FUTURE
+from kestreltrack.etcdapi import COMPACTED, FUTURE_REVISION
 from kestreltrack.etcdapi import rpc_pb2 as pb
 
 
@@ -41,7 +41,9 @@
         assert page.kvs[0].value == b"1" and page.header.revision == start + 5
         await compact(pb.CompactionRequest(revision=start + 3))
         await assert_rejected(read(pb.RangeRequest(key=b"/g/1", revision=start)), "OUT_OF_RANGE", COMPACTED)
-        await assert_rejected(read(pb.RangeRequest(key=b"/g/1", revision=start + 99)), "OUT_OF_RANGE", FUTURE)
+        await assert_rejected(
+            read(pb.RangeRequest(key=b"/g/1", revision=start + 99)), "OUT_OF_RANGE", FUTURE_REVISION
+        )
         await assert_rejected(compact(pb.CompactionRequest(revision=start + 3)), "OUT_OF_RANGE", COMPACTED)
         await assert_rejected(read(pb.RangeRequest()), "INVALID_ARGUMENT", "etcdserver: key is not provided")
         await assert_rejected(
