--- a/kestreltrack/capture/pseudonyms.py
+++ b/kestreltrack/capture/pseudonyms.py
@@ -1,7 +1,7 @@
-"""Keyed hashes in the place of ids, tenants and keys, so that a capture can be handed to others.
+"""Replaces message ids, tenants and ordering keys with keyed hashes, so that a capture can be shared.
 
-The hash is BLAKE2b with a key (RFC 7693, section 2.9): who has the key file finds a message by its id, and nobody
-else learns the id.  The decision module must not depend on what an id looks like, only on whether two are equal;
+The hash is keyed BLAKE2b (RFC 7693, section 2.9): with the key file, a message can be found by its id; without it,
+the id cannot be recovered.  The decision module must depend only on whether two ids are equal, not on their content;
 `tests/test_pseudonyms.py` checks that.
 """
 
@@ -28,13 +28,13 @@
     RejectMessage,
     StartAttempt,
 )
-from kestreltrack.snapshot.state import CallState, DestinationState, LineState, MessageState, PolicyState
+from kestreltrack.snapshot.state import CallState, DestinationState, KeyQueueState, MessageState, PolicyState
 from kestreltrack.snapshot.stored_forms import decode_action, encode_action
 
-# Keys shorter than 128 bits could be guessed; BLAKE2b takes 64 bytes at most.
+# Keys shorter than 128 bits could be guessed; BLAKE2b accepts at most 64 bytes.
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64
-# The sizes of the hashes: large enough that two names in a capture do not collide, and small in its records.
+# Large enough to avoid collisions within a capture, and small to keep its records short.
 ID_HASH_BYTES = 9
 TENANT_HASH_BYTES = 9
 KEY_HASH_BYTES = 7
@@ -42,14 +42,14 @@
 
 
 class InvalidKeyError(CaptureError):
-    """The key file cannot be read or has a wrong size."""
+    """The key file cannot be read, or its key has an invalid size."""
 
 
 def read_key_file(file: Path) -> bytes:
-    """Return the key in a file: all its bytes without the end of the line.
+    """Return the key in a file: all its bytes except trailing line breaks.
 
     Raises:
-        InvalidKeyError: The file cannot be read, or the key has a wrong size.
+        InvalidKeyError: The file cannot be read, or the key has an invalid size.
     """
     try:
         key = file.read_bytes().rstrip(b"\r\n")
@@ -61,40 +61,40 @@
 
 
 class Pseudonyms:
-    """Replaces the names in events, actions and states; the same key gives the same names."""
+    """Replaces the names in events, actions and states; equal keys give equal pseudonyms."""
 
     def __init__(self, key: bytes, endpoints: bool = False) -> None:
-        """Take the key; `endpoints` replaces the names of endpoints too, which may be addresses."""
+        """Use a key; with `endpoints`, the names of endpoints, which may be addresses, are replaced too."""
         self._key = key
         self._endpoints = endpoints
 
     def _hash(self, text: str, purpose: bytes, size_bytes: int) -> bytes:
-        """Return the hash of a text; the same text gives different hashes for different purposes."""
+        """Return the keyed hash of a text; equal texts have different hashes for different purposes."""
         return hashlib.blake2b(text.encode(), digest_size=size_bytes, key=self._key, person=purpose).digest()
 
     def message_id(self, text: str) -> str:
-        """Return the name of a message: 18 hexadecimal digits."""
+        """Return the pseudonym of a message id: 18 hexadecimal digits."""
         return self._hash(text, b"id", ID_HASH_BYTES).hex()
 
     def tenant(self, text: str) -> str:
-        """Return the name of a tenant: 18 hexadecimal digits."""
+        """Return the pseudonym of a tenant: 18 hexadecimal digits."""
         return self._hash(text, b"tenant", TENANT_HASH_BYTES).hex()
 
     def key(self, number: int) -> int:
-        """Return the number of an ordering key: 56 bits."""
+        """Return the pseudonym of an ordering key: a number of 56 bits."""
         return int.from_bytes(self._hash(str(number), b"key", KEY_HASH_BYTES), "big")
 
     def _optional_key(self, number: int | None) -> int | None:
         return None if number is None else self.key(number)
 
     def endpoint(self, text: str) -> str:
-        """Return the name of an endpoint: 12 hexadecimal digits, or the true name where endpoints keep theirs."""
+        """Return the pseudonym of an endpoint, 12 hexadecimal digits, or its name if endpoints are not replaced."""
         if not self._endpoints or not text:
             return text
         return self._hash(text, b"endpoint", ENDPOINT_HASH_BYTES).hex()
 
     def event(self, event: Event) -> Event:
-        """Return an event under other names."""
+        """Return an event with pseudonyms."""
         if isinstance(event, MessageArrived):
             tenant = None if event.tenant is None else self.tenant(event.tenant)
             key = self._optional_key(event.key)
@@ -109,7 +109,7 @@
         return event
 
     def action(self, action: Action) -> Action:
-        """Return an action under other names."""
+        """Return an action with pseudonyms."""
         if isinstance(action, StartAttempt):
             return replace(action, id=self.message_id(action.id), endpoint=self.endpoint(action.endpoint))
         if isinstance(action, CancelAttempt | RejectMessage | FailMessage):
@@ -119,15 +119,15 @@
         return action
 
     def actions(self, actions: Sequence[Action]) -> list[Action]:
-        """Return actions under other names, in their order."""
+        """Return actions with pseudonyms, in their order."""
         return [self.action(action) for action in actions]
 
     def state(self, state: PolicyState) -> PolicyState:
-        """Return a state under other names, as a decision module has it that never received the true ones."""
+        """Return a state with pseudonyms, as if the decision module had received only these."""
         return msgspec.structs.replace(
             state,
             dests=[self._destination(dest) for dest in state.dests],
-            keys=[self._key_line(line) for line in state.keys],
+            keys=[self._key_queue(key_queue) for key_queue in state.keys],
             ends=[(at, self.message_id(id_)) for at, id_ in state.ends],
             messages=[self._message(message) for message in state.messages],
             actions=[(name, self._pending_action(name, data)) for name, data in state.actions],
@@ -148,12 +148,12 @@
             ],
         )
 
-    def _key_line(self, line: LineState) -> LineState:
+    def _key_queue(self, key_queue: KeyQueueState) -> KeyQueueState:
         return msgspec.structs.replace(
-            line,
-            key=self.key(line.key),
-            queue=[self.message_id(id_) for id_ in line.queue],
-            owner=line.owner and self.message_id(line.owner),
+            key_queue,
+            key=self.key(key_queue.key),
+            queue=[self.message_id(id_) for id_ in key_queue.queue],
+            owner=key_queue.owner and self.message_id(key_queue.owner),
         )
 
     def _message(self, message: MessageState) -> MessageState:
--- a/kestreltrack/capture/records.py
+++ b/kestreltrack/capture/records.py
@@ -1,6 +1,7 @@
-"""The format of a record.  The bodies of messages are never in one, as the decision module does not receive them.
+"""The format of a record.  Records hold no message bodies, as the decision module does not receive them.
 
-A record is a msgpack array: its kind, the clock reading in ms, and what the functions below write for the kind.
+A record is a msgpack array: its kind, the clock reading in ms, and the fields that the functions below write for that
+kind.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
     SetTimer,
     StartAttempt,
 )
-from kestreltrack.snapshot.stored_forms import ACTION_FORMS, EVENT_FORMS, event_form, event_of
+from kestreltrack.snapshot.stored_forms import ACTION_FORMS, EVENT_FORMS, event_form, event_from_form
 
 FORMAT_VERSION = 1
-# The kinds of records, by their numbers in the format.
+# The kinds of records, as they are numbered in the format.
 FILE_HEADER = 0
 CHECKPOINT = 1
 EVENT = 2
@@ -56,9 +57,9 @@
     wall_ms: float
     full_actions: bool
     records_before: int = 0
-    """The number of records before this file."""
+    """The number of records before this file, including those lost in gaps."""
     hashed: bool = False
-    """Whether ids, tenants and keys are keyed hashes."""
+    """Whether message ids, tenants and ordering keys are keyed hashes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,20 +69,20 @@
     kind: int
     clock: float
     payload: Any
-    """By kind: a `FileHeader`, the bytes of a state, an event, the bytes of a digest or of actions, the answer to a
-    question, the subject of a mark."""
+    """By kind: a `FileHeader`, an encoded state, an event, a digest or encoded actions, whether a call was permitted,
+    or the subject of a mark."""
     context: tuple[Any, ...] = ()
-    """By kind: of a decision whether its actions are full, of a question its destination and endpoint, of a mark its
-    text."""
+    """By kind: of a decision, whether its actions are recorded in full; of a permission, its destination and
+    endpoint; of a mark, its text."""
 
     def mark_text(self) -> str:
-        """Return the subject and the text of a mark."""
+        """Return the subject and the text of a mark as one text."""
         return " ".join((self.payload, *self.context)).strip()
 
 
 @cache
 def decision_code_digest() -> str:
-    """Return the digest of the decision code that is running: the same digest means the same decisions."""
+    """Return the digest of the running decision code; versions with equal digests decide alike."""
     digest = hashlib.blake2b(digest_size=12)
     for file in sorted(Path(str(decision.__file__)).parent.glob("*.py")):
         digest.update(file.read_bytes())
@@ -91,7 +92,7 @@
 def encode_file_header(
     sender: str, wall_ms: float, full_actions: bool, records_before: int, hashed: bool = False
 ) -> bytes:
-    """Return the first record of a file; `wall_ms` is the time of day in ms since 1970."""
+    """Return the first record of a file; `wall_ms` is the Unix time in ms."""
     header = FileHeader(
         FORMAT_VERSION, VERSION, decision_code_digest(), sender, wall_ms, full_actions, records_before, hashed
     )
@@ -99,12 +100,12 @@
 
 
 def encode_checkpoint(clock: float, state: bytes) -> bytes:
-    """Return a record of the decision module's encoded state, which the records behind it go on from."""
+    """Return a record of the decision module's encoded state, from which a replay can continue."""
     return encode_msgpack((CHECKPOINT, clock, state))
 
 
 def is_checkpoint(record: bytes) -> bool:
-    """Return whether a record is a checkpoint: its kind is the byte behind the mark of a short array."""
+    """Return whether an encoded record is a checkpoint: the kind follows the one-byte header of the msgpack array."""
     return record[1] == CHECKPOINT
 
 
@@ -114,7 +115,10 @@
 
 
 def _action_row(action: Action) -> tuple[Any, ...]:
-    """Return one action as its code and its fields, with times as floats, whatever the settings gave."""
+    """Return one action as its code and its fields.
+
+    Times become floats, as settings may give integers, which would change the encoding and its digest.
+    """
     if isinstance(action, StartAttempt):
         return (0, action.id, action.endpoint, float(action.timeout_ms))
     if isinstance(action, CancelAttempt):
@@ -131,12 +135,12 @@
 
 
 def encode_actions(actions: Sequence[Action]) -> bytes:
-    """Return the bytes of actions, in their order."""
+    """Return actions encoded in their order."""
     return encode_msgpack([_action_row(action) for action in actions])
 
 
 def actions_digest(actions: bytes) -> bytes:
-    """Return the eight bytes that stand for encoded actions."""
+    """Return the digest of encoded actions, eight bytes."""
     return hashlib.blake2b(actions, digest_size=8).digest()
 
 
@@ -148,12 +152,12 @@
 
 
 def encode_permission(clock: float, dest: int, endpoint: str, allowed: bool) -> bytes:
-    """Return a record of the question whether a delayed call may still be sent, and of its answer."""
+    """Return a record of whether a delayed call may still be sent, as the decision module answered."""
     return encode_msgpack((PERMISSION, clock, dest, endpoint, allowed))
 
 
 def encode_mark(clock: float, subject: str, text: str = "") -> bytes:
-    """Return a record of something outside the decision module: a reload, a recovery, a shutdown."""
+    """Return a record of an occurrence outside the decision module, such as a reload, a recovery or a shutdown."""
     return encode_msgpack((MARK, clock, subject, text))
 
 
@@ -171,7 +175,7 @@
 
 
 def decode_record(data: bytes) -> Record:
-    """Return one record.
+    """Return a decoded record.
 
     Raises:
         InvalidRecordError: The bytes are not a record of this format version.
@@ -186,32 +190,32 @@
             return Record(kind, clock, BYTES_DECODER.decode(fields[0]))
         if kind == EVENT:
             form = EVENT_DECODERS[INT_DECODER.decode(fields[0])].decode(fields[1])
-            return Record(kind, clock, event_of(form))
+            return Record(kind, clock, event_from_form(form))
         if kind == DECISION:
             full_actions = BOOL_DECODER.decode(fields[0])
             return Record(kind, clock, BYTES_DECODER.decode(fields[1]), (full_actions,))
         if kind == PERMISSION:
-            question = (INT_DECODER.decode(fields[0]), TEXT_DECODER.decode(fields[1]))
-            return Record(kind, clock, BOOL_DECODER.decode(fields[2]), question)
+            destination_and_endpoint = (INT_DECODER.decode(fields[0]), TEXT_DECODER.decode(fields[1]))
+            return Record(kind, clock, BOOL_DECODER.decode(fields[2]), destination_and_endpoint)
         if kind == MARK:
             text = TEXT_DECODER.decode(fields[1])
             return Record(kind, clock, TEXT_DECODER.decode(fields[0]), (text,))
     except (msgspec.MsgspecError, ValueError, IndexError, TypeError, RecursionError) as error:
         raise InvalidRecordError(str(error)) from error
-    raise InvalidRecordError(f"unknown kind {kind}")
+    raise InvalidRecordError(f"unknown record kind {kind}")
 
 
 def _decode_file_header(data: msgspec.Raw) -> FileHeader:
     header = FILE_HEADER_DECODER.decode(data)
     if header.format_version != FORMAT_VERSION:
         raise InvalidRecordError(
-            f"its format version is {header.format_version}, this program reads {FORMAT_VERSION}"
+            f"capture format version {header.format_version} is not supported, expected {FORMAT_VERSION}"
         )
     return header
 
 
 def decode_actions(encoded: bytes) -> list[Action]:
-    """Return the actions that `encode_actions` wrote.
+    """Return the actions that `encode_actions` encoded.
 
     Raises:
         InvalidRecordError: The bytes are not encoded actions.
@@ -223,16 +227,16 @@
 
 
 def split_records(data: bytes) -> Iterator[bytes]:
-    """Yield the records of a block, each of which stands behind its length in four bytes.
+    """Yield the records of a block, each of which is preceded by its length in four bytes.
 
     Raises:
-        InvalidRecordError: A length does not fit the block.
+        InvalidRecordError: A length is zero or exceeds the rest of the block.
     """
     offset = 0
     while offset < len(data):
         start = offset + 4
         size_bytes = int.from_bytes(data[offset:start], "little")
         if size_bytes == 0 or start + size_bytes > len(data):
-            raise InvalidRecordError(f"a record of {size_bytes} bytes at {offset} of {len(data)}")
+            raise InvalidRecordError(f"invalid record length {size_bytes} at offset {offset} of {len(data)}")
         offset = start + size_bytes
         yield data[start:offset]
--- a/kestreltrack/capture/shrink.py
+++ b/kestreltrack/capture/shrink.py
@@ -27,7 +27,7 @@
     RejectMessage,
 )
 from kestreltrack.invariants.sender import InvariantViolationError, SenderInvariants
-from kestreltrack.snapshot.state import DestinationState, GuardState, LineState, PolicyState
+from kestreltrack.snapshot.state import DestinationState, GuardState, KeyQueueState, PolicyState
 
 T = TypeVar("T")
 Property = Callable[[Resimulation], bool]
@@ -133,7 +133,7 @@
     return msgspec.structs.replace(guard, trial=renumbered.get(guard.trial))
 
 
-def _restrict_key_line(line: LineState, message_ids: set[str]) -> LineState:
+def _restrict_key_line(line: KeyQueueState, message_ids: set[str]) -> KeyQueueState:
     return msgspec.structs.replace(line, queue=[id_ for id_ in line.queue if id_ in message_ids])
 
 
--- a/kestreltrack/snapshot/__init__.py
+++ b/kestreltrack/snapshot/__init__.py
@@ -1,5 +1,6 @@
-"""The decision module's whole state as typed, versioned data: for checkpoints, and for a hand-over.
+"""Snapshots: the complete state of the decision module as typed, versioned data.
 
-`state.py` holds the form, `codec.py` takes and restores it, `stored_forms.py` holds the forms of events, actions and
-settings. What survives a change of version stands in `docs/capture.md`.
+Checkpoints of a capture hold them, and a state can be transferred with them.  `state.py` defines the stored types,
+`codec.py` takes and restores snapshots, and `stored_forms.py` defines the stored types of events, actions and
+settings.  `docs/capture.md` says which data can be read across versions.
 """
--- a/kestreltrack/snapshot/codec.py
+++ b/kestreltrack/snapshot/codec.py
@@ -1,4 +1,4 @@
-"""Takes the state of a decision module, and restores a module that goes on exactly as the other would have."""
+"""Takes a snapshot of a decision module, and restores a module that makes the same decisions from there on."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     DestinationState,
     EndpointState,
     GuardState,
-    LineState,
+    KeyQueueState,
     MessageState,
     PolicyState,
     SnapshotError,
@@ -36,13 +36,13 @@
     decode_action,
     encode_action,
     settings_form,
-    settings_of,
+    settings_from_form,
 )
 
 T = TypeVar("T")
 
-# What each part stores: the name of the stored field, and the attribute that it holds. The stored names are those of
-# `state.py` and part of the format; attributes that refer to other parts are stored by hand below.
+# For each part, the stored field and the attribute whose value it holds.  The stored names are those in `state.py`
+# and are part of the format; attributes that refer to other parts are converted by the classes below.
 CALL_LIMITS = {
     "apart": "independent",
     "relays": "sender_count",
@@ -129,8 +129,8 @@
     "stops": "shutdown_deadline",
     "order": "sequence",
 }
-# All attributes that a restored part has, by its type: `capture.what_if` compares them with what another version's
-# constructors set, as an attribute that is not restored would be missing there.
+# All attributes that a restored part has, by its type.  `capture.what_if` compares them with those that the
+# constructors of another version set, as an attribute that is not restored would be missing there.
 RESTORED_ATTRIBUTES: dict[type, frozenset[str]] = {
     Policy: frozenset(POLICY.values())
     | {
@@ -160,33 +160,33 @@
 
 
 def _stored_fields(source: object, names: dict[str, str]) -> dict[str, Any]:
-    """Return what is stored of the plain attributes of a part."""
+    """Return the stored fields of the attributes of a part that refer to no other part."""
     return {stored: getattr(source, attribute) for stored, attribute in names.items()}
 
 
 def _restore_attributes(target: object, state: object, names: dict[str, str]) -> None:
-    """Set the plain attributes of a part from its stored fields."""
+    """Set the attributes of a part that refer to no other part from its stored fields."""
     for stored, attribute in names.items():
         setattr(target, attribute, getattr(state, stored))
 
 
 def _restored_part(type_: type[T], state: object, names: dict[str, str]) -> T:
-    """Return a part with its plain attributes, made past its constructor."""
+    """Return a part with these attributes, created without its constructor."""
     part = type_.__new__(type_)
     _restore_attributes(part, state, names)
     return part
 
 
-# Taking --------------------------------------------------------------------------------------------
+# Taking a snapshot --------------------------------------------------------------------------------------------
 
 
 def take_snapshot(policy: Policy) -> PolicyState:
-    """Return the state of a module at any moment between two of its calls; the module stays as it is."""
+    """Return the state of a module between two calls of it; the module is not changed."""
     return _SnapshotTaker(policy).state()
 
 
 class _SnapshotTaker:
-    """One snapshot; its parts refer to each other by the numbers and names that it gives them."""
+    """Takes one snapshot; assigns the positions and keys by which its parts refer to each other."""
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
@@ -203,7 +203,7 @@
     def state(self) -> PolicyState:
         policy = self.policy
         version, numbers, gauss = policy.random.getstate()
-        # Sorted, not as the heap lies: two heaps of one content give the same in the same order.
+        # Sorted, as heaps with equal content may differ in their internal order.
         expiry = sorted(policy.expiry_heap)
         return PolicyState(
             form=FORMAT_VERSION,
@@ -229,8 +229,8 @@
     def _key(self, key_queue: KeyQueue | None) -> int | None:
         return None if key_queue is None else self.keys[id(key_queue)]
 
-    def _key_queue(self, key: int, key_queue: KeyQueue) -> LineState:
-        return LineState(**_stored_fields(key_queue, KEY_QUEUE), key=key, queue=list(key_queue.messages))
+    def _key_queue(self, key: int, key_queue: KeyQueue) -> KeyQueueState:
+        return KeyQueueState(**_stored_fields(key_queue, KEY_QUEUE), key=key, queue=list(key_queue.messages))
 
     def _call_limits(self, limits: CallLimits) -> GuardState:
         trial_call = limits.breaker.trial_call
@@ -277,27 +277,35 @@
         )
 
 
-# Restoring -----------------------------------------------------------------------------------------
+# Restoring a snapshot -----------------------------------------------------------------------------------------
 
 
 P = TypeVar("P", bound=Policy)
 
 
 def restore(state: PolicyState) -> Policy:
-    """Return a module in that state; raises `SnapshotError` where parts refer to what is not there."""
+    """Return a module in that state.
+
+    Raises:
+        SnapshotError: The state is inconsistent, such as a reference to a missing part.
+    """
     return restore_as(state, Policy)
 
 
 def restore_as(state: PolicyState, policy_type: type[P]) -> P:
-    """Return the same as a subclass of the module, such as one that is traced."""
+    """Return the same as a subclass of the module, such as a tracing one.
+
+    Raises:
+        SnapshotError: The state is inconsistent, such as a reference to a missing part.
+    """
     try:
-        return _Restorer(state, policy_type(settings_of(state.settings), 0)).policy
+        return _Restorer(state, policy_type(settings_from_form(state.settings), 0)).policy
     except (KeyError, IndexError, TypeError, ValueError, msgspec.MsgspecError) as error:
-        raise SnapshotError(f"its parts do not fit together: {error!r}") from error
+        raise SnapshotError(f"inconsistent snapshot: {error!r}") from error
 
 
 class _Restorer(Generic[P]):
-    """One restoration: first all parts, then what they refer to."""
+    """Restores one module: first creates all parts, then resolves the references between them."""
 
     def __init__(self, state: PolicyState, policy: P) -> None:
         self.state = state
@@ -362,7 +370,8 @@
         return None if key is None else self.policy.key_queues[key]
 
     def _resolve_references(self) -> None:
-        state, policy = self.state, self.policy
+        state = self.state
+        policy = self.policy
         sequences = state.orders or [0] * len(state.ends)
         policy.expiry_heap = sorted(
             (at, sequence, message_id)
--- a/kestreltrack/snapshot/state.py
+++ b/kestreltrack/snapshot/state.py
@@ -1,9 +1,9 @@
-"""The stored form of a snapshot; what refers to another part is a key or a position.
+"""The stored types of a snapshot; references between parts are keys, names, ids or list positions.
 
-The names are part of the format, as those of `PolicyState` are written to disk; `codec.py` maps them to the
-attributes of the decision module. The other types are written as arrays: fields may only be added at the end.
+`PolicyState` is stored as a map, so its field names are part of the format; `codec.py` maps the fields to the
+attributes of the decision module.  The other types are stored as arrays: fields may only be added at their end.
 
-Reading executes nothing and builds only these types (msgspec); anything else is a `SnapshotError`.
+Decoding executes no code and builds only these types (msgspec); it raises `SnapshotError` for any other data.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from kestreltrack.decision.arithmetic import NEVER
 from kestreltrack.snapshot.stored_forms import SettingsForm
 
-# To be raised with every change of what a field means; new fields with defaults need no new version.
+# Increment when the meaning of a field changes; new fields with defaults need no new version.
 FORMAT_VERSION = 3
 MAX_BYTES = 256 * 1024 * 1024
 
 
 class SnapshotError(Exception):
-    """The data is no snapshot that this version can restore; the text says why."""
+    """The data is not a snapshot that this version can restore; the text says why."""
 
 
 class GuardState(msgspec.Struct, array_like=True):
-    """The limits of the calls to an endpoint or a destination; `trial` is the number of a call."""
+    """The call limits of an endpoint or a destination; `trial` is the position of the trial call in `calls`."""
 
     apart: bool
     base: float
@@ -52,7 +52,7 @@
 
 
 class EndpointState(msgspec.Struct, array_like=True):
-    """An endpoint with the limits that are its own; those that it shares are its destination's."""
+    """An endpoint with its own call limits; `shares` says whether those of its destination apply as well."""
 
     name: str
     zone: str
@@ -72,7 +72,7 @@
 
 
 class DestinationState(msgspec.Struct, array_like=True):
-    """A destination; `held` are the ids of its queued messages, in their order."""
+    """A destination; `held` lists the ids of its queued messages in their order."""
 
     number: int
     tokens: float
@@ -92,7 +92,7 @@
 
 
 class MessageState(msgspec.Struct, array_like=True):
-    """A message that is queued or in flight; `line` is its key, where the messages of a key go in order."""
+    """A message that is queued or in flight; `line` is its ordering key, if its class is kept in order."""
 
     id: str
     cls: str
@@ -113,7 +113,7 @@
 
 
 class CallState(msgspec.Struct, array_like=True):
-    """A call in flight; others refer to it by its position in the list."""
+    """A call in flight; other parts refer to it by its position in `PolicyState.calls`."""
 
     dest: int
     endpoint: str
@@ -125,8 +125,8 @@
     off: list[str]
 
 
-class LineState(msgspec.Struct, array_like=True):
-    """The queue of the messages of one key."""
+class KeyQueueState(msgspec.Struct, array_like=True):
+    """The queue of the messages with one ordering key."""
 
     key: int
     queue: list[str]
@@ -136,7 +136,7 @@
 
 
 class PolicyState(msgspec.Struct):
-    """The whole state."""
+    """The complete state of a decision module."""
 
     form: int
     settings: SettingsForm
@@ -146,14 +146,14 @@
     out: int
     dests: list[DestinationState]
     busy: list[int]
-    keys: list[LineState]
+    keys: list[KeyQueueState]
     ends: list[tuple[float, str]]
     scarce: list[str]
     leaving: list[int]
     messages: list[MessageState]
     actions: list[tuple[str, bytes]]
     calls: list[CallState]
-    # Message, attempt, number of its call, key of its queue.
+    # The message, the attempt, the position of its call in `calls`, and the ordering key.
     parts: list[tuple[str, int, int, int | None]]
     ticking: bool
     subscribed: bool
@@ -161,7 +161,7 @@
     ask_gap: float
     stops: float
     order: int = 0
-    # The sequence numbers of `ends`; without them, as in version 0.2, ties go by the id alone.
+    # The sequence numbers of `ends`; snapshots of version 0.2 lack them, so that only ids break ties there.
     orders: list[int] = msgspec.field(default_factory=list)
 
 
@@ -170,23 +170,33 @@
 
 
 def encode(state: PolicyState) -> bytes:
-    """Return a state as bytes."""
+    """Return an encoded state."""
     return ENCODER.encode(state)
 
 
 def canonical(data: bytes) -> bytes:
-    """Return the same state as bytes that compare: numbers in the form of their types; raises `SnapshotError`."""
+    """Return an encoded state in a form that can be compared: numbers have the types of their fields.
+
+    Raises:
+        SnapshotError: The data is not a snapshot of this format version.
+    """
     return encode(decode(data))
 
 
 def decode(data: bytes) -> PolicyState:
-    """Return the state that bytes stand for; raises `SnapshotError`."""
+    """Return a decoded state.
+
+    Raises:
+        SnapshotError: The data is too large, malformed or of another format version.
+    """
     if len(data) > MAX_BYTES:
-        raise SnapshotError(f"{len(data)} bytes are more than {MAX_BYTES}")
+        raise SnapshotError(f"snapshot of {len(data)} bytes exceeds the limit of {MAX_BYTES}")
     try:
         state = DECODER.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise SnapshotError(str(error)) from error
     if state.form != FORMAT_VERSION:
-        raise SnapshotError(f"its form is {state.form}, this version takes up {FORMAT_VERSION}")
+        raise SnapshotError(
+            f"snapshot format version {state.form} is not supported, expected {FORMAT_VERSION}"
+        )
     return state
--- a/kestreltrack/snapshot/stored_forms.py
+++ b/kestreltrack/snapshot/stored_forms.py
@@ -1,9 +1,9 @@
-"""The stored forms of settings, events and actions: their field names on disk, whatever the program calls them.
+"""The stored forms of settings, events and actions, whose field names on disk are independent of the program's.
 
-Captures and snapshots hold these types as msgpack maps whose keys are the field names.  The keys and the names
-of events and actions are part of the format, so that each type of the decision module has its form here, with its
-fields in the same order.  A field may be renamed in the program at any time, but never in a form; a new field goes
-to the end of both, with a default.
+Captures and snapshots hold these types as msgpack maps whose keys are the field names.  The keys, and the stored
+names of events and actions, are part of the format.  Each type of the decision module therefore has a form here with
+its fields in the same order.  A field may be renamed in the program, but never in its form; a new field is added at
+the end of both, with a default.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 class ClassSettingsForm(msgspec.Struct):
-    """One class of messages."""
+    """The settings of one message class."""
 
     aim_ms: float
     deadline_ms: float
@@ -64,14 +64,14 @@
 
 
 class KindSettingsForm(msgspec.Struct):
-    """One kind of destination."""
+    """The settings of one kind of destination."""
 
     routes_apart: bool = False
     batch: int = 1
 
 
 class SafetyForm(msgspec.Struct):
-    """The limits that the safety rules set."""
+    """The limits that the safety rules enforce."""
 
     answer_slack_ms: float
     drain_grace_ms: float
@@ -119,7 +119,7 @@
 
 
 class EndpointsUpdatedForm(msgspec.Struct):
-    """The complete endpoint list, or a change of it."""
+    """The complete endpoint list, or a change to it."""
 
     entries: Sequence[EndpointEntryForm]
     whole: bool
@@ -131,7 +131,7 @@
 
 
 class MessageArrivedForm(msgspec.Struct):
-    """A message that was handed in or recovered."""
+    """A message that a client submitted or that was recovered from the journal."""
 
     id: str
     dest: int
@@ -162,7 +162,7 @@
 
 
 class MessageWithdrawnForm(msgspec.Struct):
-    """A message that its client took back."""
+    """A message that its client withdrew."""
 
     id: str
 
@@ -194,7 +194,7 @@
 
 
 class QuotaLeasedForm(msgspec.Struct):
-    """A share of a destination's warm-up budget, by lease."""
+    """A leased share of a destination's warm-up budget."""
 
     dest: int
     share: float
@@ -202,7 +202,7 @@
 
 
 class HealthReportedForm(msgspec.Struct):
-    """What the fleet knows of a destination's health."""
+    """The health of a destination as the fleet reports it."""
 
     dest: int
     up: bool
@@ -211,7 +211,7 @@
 
 
 class StartAttemptForm(msgspec.Struct):
-    """The order to start an attempt."""
+    """The action that starts an attempt."""
 
     id: str
     endpoint: str
@@ -219,14 +219,14 @@
 
 
 class CancelAttemptForm(msgspec.Struct):
-    """The order to cancel an attempt."""
+    """The action that cancels an attempt."""
 
     id: str
     attempt: int
 
 
 class RejectMessageForm(msgspec.Struct):
-    """The final answer that a message is handed back."""
+    """The final answer that hands a message back."""
 
     id: str
     wait_ms: float = 0.0
@@ -239,18 +239,18 @@
 
 
 class SetTimerForm(msgspec.Struct):
-    """The order to set a timer."""
+    """The action that sets a timer."""
 
     after_ms: float
     token: int
 
 
 class PollEndpointListForm(msgspec.Struct):
-    """The order to poll service discovery."""
+    """The action that polls service discovery."""
 
 
 class CloseIdleConnectionsForm(msgspec.Struct):
-    """The order to close idle connections."""
+    """The action that closes idle connections."""
 
     endpoint: str
 
@@ -261,7 +261,7 @@
     SafetyLimits: SafetyForm,
     Settings: SettingsForm,
 }
-# The order of events and of actions is part of the capture's format: a record holds the position as its code.
+# The order of events and of actions is part of the capture format, as records store the position as a code.
 EVENT_FORMS: dict[type, type[msgspec.Struct]] = {
     EndpointsUpdated: EndpointsUpdatedForm,
     DiscoveryFailed: DiscoveryFailedForm,
@@ -312,7 +312,7 @@
 
 
 def _field_reader(kind: type) -> Callable[[Any], tuple[Any, ...]]:
-    """Return a function that reads all fields of a dataclass in order."""
+    """Return a function that returns all fields of a dataclass instance in order."""
     names = [field.name for field in fields(kind)]
     if not names:
         return lambda value: ()
@@ -324,13 +324,13 @@
 
 
 def _flat_form(value: object) -> Any:
-    """Return the form of a value whose fields need no forms of their own."""
+    """Return the form of a value that contains no other type with a form."""
     kind = type(value)
     return _FORMS[kind](*_FIELDS[kind](value))
 
 
 def _flat_value(form: msgspec.Struct) -> Any:
-    """Return the value that a form without nested forms stands for."""
+    """Return the value of a form that contains no other form."""
     return _TYPES[type(form)](*msgspec.structs.astuple(form))
 
 
@@ -342,8 +342,8 @@
     return _flat_form(event)
 
 
-def event_of(form: msgspec.Struct) -> Any:
-    """Return the event that a stored form stands for."""
+def event_from_form(form: msgspec.Struct) -> Any:
+    """Return the event of a stored form."""
     if isinstance(form, EndpointsUpdatedForm):
         entries = [_flat_value(entry) for entry in form.entries]
         return EndpointsUpdated(entries, form.whole, form.remembered)
@@ -351,21 +351,26 @@
 
 
 def action_form(action: Action) -> Any:
-    """Return the stored form of an action, with numbers in the form of their types.
+    """Return the stored form of an action, with numbers converted to the types of their fields.
 
-    Settings may give whole numbers for floats.
+    Settings may give integers where a field is a float.
     """
     form = _flat_form(action)
     return msgspec.convert(msgspec.to_builtins(form), type(form))
 
 
 def encode_action(action: Action) -> bytes:
-    """Return an action's stored form as bytes."""
+    """Return the encoded stored form of an action."""
     return msgspec.msgpack.encode(action_form(action))
 
 
 def decode_action(name: str, data: bytes) -> Any:
-    """Return the action of a stored name and form; raises `KeyError` or `msgspec.MsgspecError`."""
+    """Return the action of a stored name and an encoded form.
+
+    Raises:
+        KeyError: No action has this name.
+        msgspec.MsgspecError: The data is not a form of that action.
+    """
     return _flat_value(msgspec.msgpack.decode(data, type=ACTION_FORMS[ACTION_TYPE_BY_NAME[name]]))
 
 
@@ -378,8 +383,12 @@
     return form
 
 
-def settings_of(form: SettingsForm) -> Settings:
-    """Return the settings that a stored form stands for; raises `ValueError` where they are out of range."""
+def settings_from_form(form: SettingsForm) -> Settings:
+    """Return the settings of a stored form.
+
+    Raises:
+        ValueError: A value is out of range.
+    """
     values = msgspec.structs.asdict(form)
     values["classes"] = {name: _flat_value(value) for name, value in form.classes.items()}
     values["kinds"] = {name: _flat_value(value) for name, value in form.kinds.items()}
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""A restored module goes on exactly as the other would have, from any moment of any history."""
+"""A decision module that is restored from a snapshot makes the same decisions as the original."""
 
 from __future__ import annotations
 
@@ -38,60 +38,67 @@
 from kestreltrack.snapshot.codec import restore, take_snapshot
 from kestreltrack.snapshot.state import FORMAT_VERSION, PolicyState, SnapshotError, canonical, decode, encode
 
-Tape = list[tuple[float, Any]]
+History = list[tuple[float, Any]]
+"""The events and the lists of actions of a run, in order, each with its clock reading."""
 
 
-class Taped(Policy):
-    """Remembers what it was told, and each answer."""
+class RecordingPolicy(Policy):
+    """Records the events that it receives and the actions that it returns."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.tape: Tape = []
+        self.history: History = []
 
     def handle(self, now: float, event: Event) -> None:
-        self.tape.append((now, event))
+        self.history.append((now, event))
         super().handle(now, event)
 
     def decide(self, now: float) -> Any:
         actions = super().decide(now)
-        self.tape.append((now, list(actions)))
+        self.history.append((now, list(actions)))
         return actions
 
 
-def history(seed: int, steps: int, monkeypatch: pytest.MonkeyPatch) -> tuple[Settings, Tape]:
-    monkeypatch.setattr(test_random, "Policy", Taped)
+def record_random_run(seed: int, steps: int, monkeypatch: pytest.MonkeyPatch) -> tuple[Settings, History]:
+    monkeypatch.setattr(test_random, "Policy", RecordingPolicy)
     play = test_random.Play(seed)
     play.run(steps)
-    assert isinstance(play.policy, Taped)
-    return play.settings, play.policy.tape
+    assert isinstance(play.policy, RecordingPolicy)
+    return play.settings, play.policy.history
 
 
-def go_on(policy: Policy, tape: Tape) -> None:
-    for now, what in tape:
-        if isinstance(what, list):
-            assert list(policy.decide(now)) == what
+def replay_history(policy: Policy, history: History) -> None:
+    """Pass the events to a module, and compare its actions with the recorded ones."""
+    for now, event_or_actions in history:
+        if isinstance(event_or_actions, list):
+            assert list(policy.decide(now)) == event_or_actions
         else:
-            policy.handle(now, what)
+            policy.handle(now, event_or_actions)
+
+
+def canonical_snapshot(policy: Policy) -> bytes:
+    return canonical(encode(take_snapshot(policy)))
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_run_save_load_run_is_run(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    settings, tape = history(seed, 200, monkeypatch)
-    cuts, rng = [0], random.Random(seed)
-    cuts += sorted(rng.randrange(len(tape) * 2 // 3) for _ in range(7))
-    first = Policy(settings, seed)
-    for before, cut in pairwise(cuts):
-        go_on(first, tape[before:cut])
-        second = restore(decode(encode(take_snapshot(first))))
-        assert canonical(encode(take_snapshot(second))) == canonical(encode(take_snapshot(first)))
-        go_on(second, tape[cut:])
-    go_on(first, tape[cuts[-1] :])
-    assert len(tape) > 400 and canonical(encode(take_snapshot(second))) == canonical(
-        encode(take_snapshot(first))
-    )
-
-
-def parts(policy: Policy) -> Iterator[object]:
+def test_a_restored_module_decides_as_the_original(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    settings, history = record_random_run(seed, 200, monkeypatch)
+    rng = random.Random(seed)
+    positions = [0]
+    positions += sorted(rng.randrange(len(history) * 2 // 3) for _ in range(7))
+    original = Policy(settings, seed)
+    for previous, position in pairwise(positions):
+        replay_history(original, history[previous:position])
+        restored = restore(decode(encode(take_snapshot(original))))
+        assert canonical_snapshot(restored) == canonical_snapshot(original)
+        replay_history(restored, history[position:])
+    replay_history(original, history[positions[-1] :])
+    assert len(history) > 400
+    assert canonical_snapshot(restored) == canonical_snapshot(original)
+
+
+def all_parts(policy: Policy) -> Iterator[object]:
+    """Yield the objects that hold the state of a module."""
     yield policy
     for dest in policy.destinations.values():
         yield dest
@@ -106,7 +113,8 @@
     yield from policy.key_queues.values()
 
 
-REFERS = {
+# Attributes that refer to other parts, or that the codec converts by hand.
+CONVERTED_ATTRIBUTES = {
     Policy: {
         "settings",
         "random",
@@ -130,7 +138,8 @@
     Call: {"endpoint", "attempts", "cancelled"},
     KeyQueue: {"messages"},
 }
-PLAIN = {
+# The attributes that are stored as they are, by stored name.
+PLAIN_ATTRIBUTES = {
     Policy: codec.POLICY,
     Destination: codec.DESTINATION,
     Endpoint: codec.ENDPOINT,
@@ -144,20 +153,20 @@
 }
 
 
-def test_no_attribute_of_the_module_is_left_out() -> None:
+def test_every_attribute_of_the_module_is_stored() -> None:
     relay = Relay(entry(1), entry(2, kind="apart"))
     relay.arrive(1, "ordered", key=3)
     relay.arrive(1, "keyed")
     found = set[type]()
-    for part in parts(relay.policy):
+    for part in all_parts(relay.policy):
         kind = type(part)
-        assert set(vars(part)) == REFERS[kind] | set(PLAIN[kind].values()), kind
+        assert set(vars(part)) == CONVERTED_ATTRIBUTES[kind] | set(PLAIN_ATTRIBUTES[kind].values()), kind
         found.add(kind)
-    assert found == set(REFERS)
+    assert found == set(CONVERTED_ATTRIBUTES)
 
 
-def in_the_middle() -> Relay:
-    """A claim out, a told wait, a slow start, a drain, a key held: all at one moment."""
+def busy_relay() -> Relay:
+    """Return a relay with attempts in flight, a retry-after, a slow start, a drain and an ordering key in use."""
     relay = Relay(entry(1, "a"), entry(1, "b"), entry(2, "c"), entry(3, "d"))
     relay.arrive(1, "ordered", key=7)
     relay.arrive(1, "ordered", key=7)
@@ -171,47 +180,45 @@
     return relay
 
 
-def test_a_claim_out_a_wait_a_slow_start_and_a_drain_are_carried_over() -> None:
-    relay = in_the_middle()
-    other = restore(decode(encode(take_snapshot(relay.policy))))
-    assert other.in_flight == relay.policy.in_flight > 0 and other.destinations[3].endpoints["d"].limits[
-        0
-    ].retry_after_active(relay.now + 2900.0)
-    assert (
-        not other.destinations[1].endpoints["b"].accepts_calls
-        and other.destinations[2].limits
-        and other.destinations[2].limits.breaker.consecutive_failures
-    )
+def test_attempts_in_flight_a_retry_after_a_slow_start_and_a_drain_are_restored() -> None:
+    relay = busy_relay()
+    restored = restore(decode(encode(take_snapshot(relay.policy))))
+    assert restored.in_flight == relay.policy.in_flight > 0
+    assert restored.destinations[3].endpoints["d"].limits[0].retry_after_active(relay.now + 2900.0)
+    assert not restored.destinations[1].endpoints["b"].accepts_calls
+    limits = restored.destinations[2].limits
+    assert limits
+    assert limits.breaker.consecutive_failures
     for step in range(400):
         relay.now += 50.0
         events = [TimerExpired(0)]
         if step == 20:
             events.append(relay.ended("m1"))  # type: ignore[arg-type]
-        assert list(relay.policy.step(relay.now, events)) == list(other.step(relay.now, events))
+        assert list(relay.policy.step(relay.now, events)) == list(restored.step(relay.now, events))
 
 
-def test_a_form_that_is_not_known_is_refused() -> None:
+def test_an_unknown_format_version_is_rejected() -> None:
     state = take_snapshot(Policy(SETTINGS, 1))
     state.form = FORMAT_VERSION + 1
-    with pytest.raises(SnapshotError, match="its form is"):
+    with pytest.raises(SnapshotError, match=f"snapshot format version {FORMAT_VERSION + 1} is not supported"):
         decode(encode(state))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=400))
-def test_junk_is_refused(data: bytes) -> None:
+def test_random_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(SnapshotError):
         decode(data)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.data())
-def test_parts_that_do_not_fit_together_are_refused_or_taken_up_but_never_crash(data: st.DataObject) -> None:
-    tree = msgspec.msgpack.decode(encode(take_snapshot(in_the_middle().policy)))
-    key = data.draw(st.sampled_from(sorted(tree)))
-    tree[key] = data.draw(st.sampled_from([[], None, 0, "x", [[]], {}, [1], [["m1", 0, 99, None]]]))
+def test_an_inconsistent_snapshot_is_restored_or_rejected_with_a_snapshot_error(data: st.DataObject) -> None:
+    fields = msgspec.msgpack.decode(encode(take_snapshot(busy_relay().policy)))
+    name = data.draw(st.sampled_from(sorted(fields)))
+    fields[name] = data.draw(st.sampled_from([[], None, 0, "x", [[]], {}, [1], [["m1", 0, 99, None]]]))
     try:
-        restore(decode(msgspec.msgpack.encode(tree)))
+        restore(decode(msgspec.msgpack.encode(fields)))
     except SnapshotError:
         return
-    assert isinstance(decode(msgspec.msgpack.encode(tree)), PolicyState)
+    assert isinstance(decode(msgspec.msgpack.encode(fields)), PolicyState)
