--- a/kestreltrack/capture/__init__.py
+++ b/kestreltrack/capture/__init__.py
@@ -1,9 +1,9 @@
-"""Captures: everything that the decision module received and answered, in order, and what can be made of it.
+"""Captures record all input and output of the decision module, in order, for replay and analysis.
 
-`records.py` holds the format of a record and `blocks.py` that of a file.  `recorder.py` stands between the dispatcher
-and the decision module; `writer.py` writes a ring of files from a thread.  `reader.py` reads one file, which may be
-torn or damaged, and `cursor.py` all files of a capture.  `replay.py` repeats the decisions with the present decision
-module, `what_if.py` with another version of it, `resimulate.py` plays the input against new decisions, and
-`shrink.py` reduces it.  `pseudonyms.py` and `anonymise.py` replace identifiers by keyed hashes.  Design and format:
-`docs/capture.md`.
+`records.py` defines the format of a record and `blocks.py` that of a file.  `recorder.py` wraps the decision module
+for the dispatcher; `writer.py` writes a bounded set of files from a thread.  `reader.py` reads one file, which may be
+truncated or corrupt, and `cursor.py` all files of a capture.  `replay.py` repeats the decisions with the running
+version of the decision module, `what_if.py` compares them with another version, `resimulate.py` simulates the
+captured input against new decisions, and `shrink.py` reduces that input.  `pseudonyms.py` and `anonymise.py` replace
+identifiers with keyed hashes.  Design and format: `docs/capture.md`.
 """
--- a/kestreltrack/capture/anonymise.py
+++ b/kestreltrack/capture/anonymise.py
@@ -1,8 +1,7 @@
-"""Writes a capture again with keyed hashes for ids, tenants, keys and, on request, endpoints.
+"""Copies a capture with keyed hashes in place of message ids, tenants, ordering keys and, on request, endpoints.
 
-The blocks and the numbers of the records stay, so that gaps and checkpoints stay where they are.  A capture may hold
-digests of the answers only; these are computed again from what the present decision module answers, which must be
-what was captured.
+Block boundaries and record numbers are preserved, and so are the positions of gaps and checkpoints.  A capture may
+hold only digests of the actions; these are recomputed from a replay, whose actions must equal the captured ones.
 """
 
 from __future__ import annotations
@@ -22,16 +21,18 @@
 
 
 class AnonymiseError(CaptureError):
-    """The present decision module answers otherwise than captured, so that digests cannot be computed again."""
+    """The running decision module does not give the captured answers, so digests cannot be recomputed."""
 
 
 def anonymise(
     capture: CaptureFiles, pseudonyms: Pseudonyms, folder: Path, on_step: Callable[[Step], None] | None = None
 ) -> tuple[list[Path], list[str]]:
-    """Write each file under its name into a folder; return the files, and where the capture was corrupt.
+    """Write each file under the same name into a folder; return the files, and where the capture was corrupt.
+
+    `on_step` receives each record before it is replayed.
 
     Raises:
-        AnonymiseError: The present decision module answers otherwise than captured.
+        AnonymiseError: The running decision module does not give the captured answers.
         OSError: A file cannot be written.
     """
     folder.mkdir(parents=True, exist_ok=True)
@@ -40,10 +41,10 @@
     for step in capture.steps():
         if on_step:
             on_step(step)
-        output.begin_block_of(step)
+        output.begin_block_if_needed(step)
         if replayer.apply_step(step) is not None:
             raise AnonymiseError(
-                f"{step.file}: record {step.record_number}: the present module does not do as captured"
+                f"{step.file}: record {step.record_number}: the running decision module differs from the captured one"
             )
         output.add(step, _pseudonymised_record(step, pseudonyms, replayer))
     output.flush()
@@ -51,7 +52,7 @@
 
 
 class _BlockOutput:
-    """Writes records into files and blocks with the same bounds as those that they were read from."""
+    """Writes records into files and blocks with the same boundaries as those they were read from."""
 
     def __init__(self, folder: Path) -> None:
         self.files = list[Path]()
@@ -62,8 +63,8 @@
         self._first_record = 0
         self._has_checkpoint = False
 
-    def begin_block_of(self, step: Step) -> None:
-        """Begin a new block, where a record is the first of the block that it was read from."""
+    def begin_block_if_needed(self, step: Step) -> None:
+        """Begin a new block, and a new file if needed, where the source position has changed."""
         if step.position == self._position:
             return
         self.flush()
@@ -83,7 +84,7 @@
         self._records.append(record)
 
     def flush(self) -> None:
-        """Write the records of the current block, if there are any."""
+        """Write the records of the current block, if any."""
         if not self._records:
             return
         first_clock = min(self._clocks, default=0.0)
@@ -98,7 +99,7 @@
 
 
 def _pseudonymised_record(step: Step, pseudonyms: Pseudonyms, replayer: Replayer[Policy]) -> bytes:
-    """Return a record under other names, after the replayer has applied it."""
+    """Return a record with pseudonyms; the replayer has applied the record already."""
     record = step.record
     if record.kind == records.FILE_HEADER:
         header = msgspec.structs.replace(record.payload, hashed=True)
@@ -109,7 +110,7 @@
         return records.encode_event(record.clock, pseudonyms.event(record.payload))
     if record.kind == records.DECISION:
         if replayer.policy is None:
-            # The decision stands before the first checkpoint of a torn capture, where no replay can begin.
+            # The decision precedes the first checkpoint of an incomplete capture, so it cannot be replayed.
             return records.encode_mark(record.clock, "decided", "unknown")
         full_actions = record.context[0]
         return records.encode_decision(record.clock, pseudonyms.actions(replayer.last_actions), full_actions)
--- a/kestreltrack/capture/blocks.py
+++ b/kestreltrack/capture/blocks.py
@@ -1,12 +1,13 @@
-"""The format of a capture file: a magic line, then blocks, each found, checked and skipped by its header alone.
+"""The format of a capture file: a magic number, then blocks that are located, verified and skipped by their headers.
 
     magic  b"KTCAP001"
-    block  header of 44 bytes: mark b"BLK1", or b"CHK1" where a checkpoint stands first (or right behind the header
-           record of a file), stored bytes, raw bytes (u32 each), checksum of the stored bytes (u32), number of the
-           first record (u64), records (u32), first and last clock (f64 each), then a checksum of these 40 bytes
-           (u32); then the stored bytes: records, each behind its length (u32), compressed with zstandard (RFC 8878)
+    block  header of 44 bytes: mark b"BLK1", or b"CHK1" where the first record is a checkpoint (or the second, after
+           the header record of a file); number of stored bytes and of raw bytes (u32 each); checksum of the stored
+           bytes (u32); number of the first record (u64); count of records (u32); first and last clock reading (f64
+           each); then a checksum of these 40 bytes (u32).  The stored bytes follow: the records, each preceded by its
+           length (u32), compressed with Zstandard (RFC 8878)
 
-All numbers are little-endian; checksums are CRC-32 as zlib computes it.
+All numbers are little-endian; checksums are CRC-32 as computed by zlib.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 HEADER_STRUCT = struct.Struct("<4sIIIQIdd")
 CHECKSUM_STRUCT = struct.Struct("<I")
 HEADER_BYTES = HEADER_STRUCT.size + CHECKSUM_STRUCT.size
-# A checkpoint of 50,000 endpoints fits into these limits; a header beyond them is damaged.
+# A checkpoint of 50,000 endpoints fits into these limits; a header with larger sizes is corrupt.
 MAX_STORED_BYTES = 80 * 1024 * 1024
 MAX_RAW_BYTES = 320 * 1024 * 1024
-# A decompression may use this much memory for its window; level 3 stays far below it.
+# The largest window that decompression may allocate; level 3 needs far less.
 MAX_WINDOW_BYTES = 2**27
-# The default of zstandard: higher levels cost more time than the disk is worth.
+# The default of Zstandard: higher levels cost more time than the saved disk space is worth.
 COMPRESSION_LEVEL = 3
 
 
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockHeader:
-    """The content of a block's header."""
+    """The fields of a block header."""
 
     stored_bytes: int
     raw_bytes: int
@@ -55,7 +56,7 @@
 def pack_block(
     records: list[bytes], first_record: int, first_clock: float, last_clock: float, checkpoint: bool = False
 ) -> bytes:
-    """Return a block of records; `checkpoint` says that a replay can begin with it."""
+    """Return records as a block; `checkpoint` marks it as one that a replay can begin with."""
     raw = b"".join(len(record).to_bytes(4, "little") + record for record in records)
     stored = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(raw)
     mark = CHECKPOINT_BLOCK_MARK if checkpoint else BLOCK_MARK
@@ -66,42 +67,44 @@
 
 
 def read_header(data: bytes) -> BlockHeader:
-    """Return the header that the bytes begin with.
+    """Return the header at the start of the bytes.
 
     Raises:
-        InvalidBlockError: The bytes are no valid header.
+        InvalidBlockError: The bytes do not begin with a valid header.
     """
     if len(data) < HEADER_BYTES:
-        raise InvalidBlockError(f"its header is cut off after {len(data)} bytes")
+        raise InvalidBlockError(f"block header is truncated after {len(data)} bytes")
     mark, *fields = HEADER_STRUCT.unpack_from(data)
     (checksum,) = CHECKSUM_STRUCT.unpack_from(data, HEADER_STRUCT.size)
     if checksum != zlib.crc32(data[: HEADER_STRUCT.size]):
-        raise InvalidBlockError("the checksum of its header is wrong")
+        raise InvalidBlockError("block header checksum mismatch")
     fields.append(mark == CHECKPOINT_BLOCK_MARK)
     header = BlockHeader(*fields)
     known_mark = mark in (BLOCK_MARK, CHECKPOINT_BLOCK_MARK)
     too_large = header.stored_bytes > MAX_STORED_BYTES or header.raw_bytes > MAX_RAW_BYTES
     if not known_mark or too_large:
-        raise InvalidBlockError("its header has values that no writer writes")
+        raise InvalidBlockError("block header is invalid: unknown mark, or a size above the limit")
     return header
 
 
 def unpack_block(header: BlockHeader, stored: bytes) -> bytes:
-    """Return the records of a block, still joined.
+    """Return the decompressed bytes of a block, which `records.split_records` splits into records.
 
     Raises:
-        InvalidBlockError: The stored bytes do not fit the header.
+        InvalidBlockError: The stored bytes do not match the header.
     """
     if len(stored) < header.stored_bytes:
-        raise InvalidBlockError(f"it is cut off after {len(stored)} of {header.stored_bytes} bytes")
+        raise InvalidBlockError(f"block is truncated after {len(stored)} of {header.stored_bytes} bytes")
     if zlib.crc32(stored) != header.checksum:
-        raise InvalidBlockError("its checksum is wrong")
+        raise InvalidBlockError("block checksum mismatch")
     try:
         raw = zstandard.ZstdDecompressor(max_window_size=MAX_WINDOW_BYTES).decompress(
             stored, max_output_size=header.raw_bytes
         )
     except zstandard.ZstdError as error:
-        raise InvalidBlockError(f"it cannot be decompressed: {error}") from error
+        raise InvalidBlockError(f"block cannot be decompressed: {error}") from error
     if len(raw) != header.raw_bytes:
-        raise InvalidBlockError(f"it holds {len(raw)} bytes instead of {header.raw_bytes}")
+        raise InvalidBlockError(
+            f"block decompresses to {len(raw)} bytes, but its header states {header.raw_bytes}"
+        )
     return raw
--- a/kestreltrack/capture/cursor.py
+++ b/kestreltrack/capture/cursor.py
@@ -1,7 +1,7 @@
-"""Reads the files of one capture in order: from a checkpoint on, up to a clock reading, and across gaps.
+"""Reads the files of one capture in order: from a checkpoint, up to a clock reading, and across gaps.
 
-Everything that reads a capture, for people or for a replay, goes through here, so that all agree on where a replay
-can begin.  Clock readings are milliseconds of the sender's own clock.
+Replays, reports and searches all read captures through this module, so that they agree on where a replay can begin.
+Clock readings are milliseconds of the sender's own clock.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 SPAN_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h|)")
 TIME_OF_DAY_PATTERN = re.compile(r"\d?\d:\d\d(:\d\d(\.\d+)?)?")
 SECONDS_PER_DAY = 86_400.0
-# A time of day is cut off after its last digit; it may stand this much before the start of the capture.
+# A time of day that is truncated to whole seconds may precede the start of the capture by this much.
 TIME_OF_DAY_SLACK_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class BlockPosition:
-    """The position of a block: the index of its file in the capture, and its own in the file."""
+    """The position of a block: the index of its file in the capture, and its index in the file."""
 
     file: int
     block: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One record of a capture; `after_gap` where it follows a gap, so that a replay must begin again."""
+    """One record of a capture; `after_gap` is set where records before it are missing and a replay must restart."""
 
     file: Path
     position: BlockPosition
@@ -45,14 +45,14 @@
 
 
 class InvalidTimeError(CaptureError):
-    """A point in time is not written in a known form."""
+    """A point in time has no known format."""
 
 
 class CaptureFiles:
     """The files of one capture."""
 
     def __init__(self, files: Sequence[Path]) -> None:
-        """Check the first bytes of each file.
+        """Check the magic number of each file.
 
         Raises:
             NotACaptureError: One of the files is not a capture.
@@ -61,12 +61,12 @@
         self.files = list(files)
         self.readers = [Reader(file) for file in self.files]
         self.corruptions: list[str] = []
-        """Where the last `steps` found the files corrupt."""
+        """The corruptions that the last `steps` found, one text each."""
         self._block_headers: list[list[LocatedBlock]] | None = None
         self._clock_origin: tuple[float, float] | None = None
 
     def block_headers(self) -> list[list[LocatedBlock]]:
-        """Return the blocks of each file."""
+        """Return the header and the offset of each block, by file."""
         if self._block_headers is None:
             self._block_headers = [reader.block_headers() for reader in self.readers]
         return self._block_headers
@@ -81,23 +81,23 @@
         ]
 
     def checkpoint_before(self, position: BlockPosition) -> BlockPosition:
-        """Return the last checkpoint that is not behind a block."""
+        """Return the last checkpoint at or before a block, or else the start of the capture."""
         key = (position.file, position.block)
-        found = [place for place, _ in self.checkpoints() if (place.file, place.block) <= key]
+        found = [found_at for found_at, _ in self.checkpoints() if (found_at.file, found_at.block) <= key]
         return found[-1] if found else BlockPosition(0, 0)
 
     def checkpoint_at(self, clock: float) -> BlockPosition:
-        """Return the last checkpoint at or before a clock reading, or else the first one."""
+        """Return the last checkpoint at or before a clock reading, or else the start of the capture."""
         found = [position for position, first_clock in self.checkpoints() if first_clock <= clock]
         return found[-1] if found else BlockPosition(0, 0)
 
     def clock_span(self) -> tuple[float, float]:
-        """Return the first and the last clock reading; zeros for a capture without blocks."""
+        """Return the first and the last clock reading, or zeros if the capture has no blocks."""
         headers = [located.header for file in self.block_headers() for located in file]
         return (headers[0].first_clock, headers[-1].last_clock) if headers else (0.0, 0.0)
 
     def clock_origin(self) -> tuple[float, float]:
-        """Return the clock reading of the first checkpoint, and the time of day then, in ms since 1970."""
+        """Return the clock reading of the first checkpoint, and the Unix time at that moment, in ms."""
         if self._clock_origin is None:
             self._clock_origin = self._find_clock_origin()
         return self._clock_origin
@@ -113,17 +113,17 @@
         return 0.0, 0.0
 
     def wall_time(self, clock: float) -> datetime:
-        """Return the time of day of a clock reading, in UTC."""
+        """Return the date and time of a clock reading, in UTC."""
         origin, wall_ms = self.clock_origin()
         return datetime.fromtimestamp((wall_ms + clock - origin) / 1000.0, UTC)
 
     def parse_time(self, text: str) -> float:
-        """Return the clock reading of a time: `90`, `90s`, `2m`, `1h` from the start, `14:03[:07]` or an ISO date.
+        """Return the clock reading of a time: `90`, `90s`, `2m`, `1h` after the start, `14:03[:07]` or an ISO date.
 
-        A time of day or a date without a zone is in UTC.
+        A time of day, or a date without a time zone, is in UTC.
 
         Raises:
-            InvalidTimeError: The text has none of these forms.
+            InvalidTimeError: The text has none of these formats.
         """
         text = text.strip()
         origin, wall_ms = self.clock_origin()
@@ -143,20 +143,21 @@
         return origin + date.timestamp() * 1000.0 - wall_ms
 
     def _parse_time_of_day(self, text: str) -> float:
-        """Return the first moment of that time of day since the start, in seconds since 1970."""
+        """Return the first occurrence of a time of day since the start, as Unix time in seconds."""
         start = datetime.fromtimestamp(self.clock_origin()[1] / 1000.0, UTC)
         hours, minutes, *seconds = text.split(":")
         minute = start.replace(hour=int(hours), minute=int(minutes), second=0, microsecond=0)
         moment_s = minute.timestamp() + float(seconds[0] if seconds else 0)
         if moment_s < start.timestamp() - TIME_OF_DAY_SLACK_S:
-            # The capture goes on past midnight.
+            # The capture extends past midnight.
             moment_s += SECONDS_PER_DAY
         return moment_s
 
     def steps(self, start: BlockPosition | None = None, until: float | None = None) -> Iterator[Step]:
         """Yield all records from a checkpoint on, up to a clock reading.
 
-        Where a file is corrupt this is noted in `corruptions`, and the next file goes on after a gap.
+        A corrupt file is read up to its first corruption, which is added to `corruptions`; the first record of the
+        next file then counts as one after a gap.
         """
         self.corruptions = []
         first = start or BlockPosition(0, 0)
--- a/kestreltrack/capture/errors.py
+++ b/kestreltrack/capture/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that reading, writing and evaluating captures raises."""
+"""The base class of the errors raised while captures are read, written or evaluated."""
 
 from __future__ import annotations
 
 
 class CaptureError(Exception):
-    """A capture, or what was asked of one, is not usable; the text says why."""
+    """A capture, or a request about one, is not valid; the text says why."""
--- a/kestreltrack/capture/reader.py
+++ b/kestreltrack/capture/reader.py
@@ -1,4 +1,4 @@
-"""Reads one file of a capture, which may be torn or damaged.  Memory is bounded by one block."""
+"""Reads one file of a capture, which may be truncated or corrupt.  At most one block is in memory at a time."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from kestreltrack.capture.records import InvalidRecordError, Record
 
 FILE_PATTERN = "capture-*.ktc"
-"""The names of the files that a sender writes."""
+"""Matches the names of the files that a sender writes."""
 
 
 class NotACaptureError(CaptureError):
-    """The file does not begin like a capture."""
+    """The file does not begin with the magic number of captures."""
 
 
 @dataclass(slots=True)
 class Corruption:
-    """The place from which on a file is not usable."""
+    """The offset from which a file cannot be read, and the reason."""
 
     file: Path
     offset: int
-    text: str
+    reason: str
 
     def __str__(self) -> str:
-        """Return one line for people."""
-        return f"{self.file}: at byte {self.offset}: {self.text}"
+        """Return the file, the offset and the reason as one line."""
+        return f"{self.file}: at byte {self.offset}: {self.reason}"
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,10 @@
 
 
 class Reader:
-    """One file; `corruption` says after each read where it is not usable, if anywhere."""
+    """Reads one file; after each read, `corruption` is the first corruption found, if any."""
 
     def __init__(self, file: Path) -> None:
-        """Check the first bytes.
+        """Check the magic number.
 
         Raises:
             NotACaptureError: The file is not a capture.
@@ -58,7 +58,7 @@
                 raise NotACaptureError(f"{file}: not a capture")
 
     def block_headers(self) -> list[LocatedBlock]:
-        """Return all blocks by their headers alone, which is an index by time."""
+        """Return the headers of all blocks without reading their content; they serve as an index by time."""
         found = list[LocatedBlock]()
         offset = len(blocks.MAGIC)
         with self.file.open("rb") as opened:
@@ -74,7 +74,7 @@
         return found
 
     def raw_blocks(self) -> Iterator[tuple[int, LocatedBlock, bytes]]:
-        """Yield the valid blocks: the index of each, its header, and its records, still joined."""
+        """Yield the index, the header and the decompressed bytes of each block, up to the first corruption."""
         self.corruption = None
         with self.file.open("rb") as opened:
             for index, located in enumerate(self.block_headers()):
@@ -85,12 +85,12 @@
                     return
 
     def records(self) -> Iterator[Record]:
-        """Yield all records up to the first that is not valid."""
+        """Yield all records up to the first corruption."""
         for _, _, record in self.numbered_records():
             yield record
 
     def numbered_records(self, first_block: int = 0) -> Iterator[tuple[int, int, Record]]:
-        """Yield the index of its block, its number and each record from a block on, up to the first corruption."""
+        """Yield each record with the index of its block and its number, from a block up to the first corruption."""
         self.corruption = None
         next_number: int | None = None
         with self.file.open("rb") as opened:
@@ -112,7 +112,7 @@
 
 
 def _read_block(opened: BinaryIO, located: LocatedBlock) -> bytes:
-    """Return the records of a block, still joined; raises `InvalidBlockError`."""
+    """Return the decompressed bytes of a block; raises `InvalidBlockError`."""
     opened.seek(located.offset + blocks.HEADER_BYTES)
     return blocks.unpack_block(located.header, opened.read(located.header.stored_bytes))
 
@@ -120,11 +120,11 @@
 def _check_record_count(header: blocks.BlockHeader, next_number: int) -> None:
     found = next_number - header.first_record
     if found != header.record_count:
-        raise InvalidRecordError(f"{found} records instead of {header.record_count}")
+        raise InvalidRecordError(f"block holds {found} records, but its header states {header.record_count}")
 
 
 def capture_files(paths: list[Path]) -> list[Path]:
-    """Return the files that are named, and those in the folders that are named, in the order they were written."""
+    """Return the given files, and those in the given folders in the order in which they were written."""
     found = list[Path]()
     for path in paths:
         if path.is_dir():
--- a/kestreltrack/capture/recorder.py
+++ b/kestreltrack/capture/recorder.py
@@ -1,4 +1,4 @@
-"""Records everything that goes between the dispatcher and the decision module, in order."""
+"""Records all calls of the dispatcher to the decision module, with their results, in order."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from kestreltrack.snapshot.state import encode
 from kestreltrack.telemetry import Telemetry
 
-# A block is handed to the writer after so many bytes of records, or after such a span of the clock: large enough to
-# compress well, and a killed process loses half a second at most.
+# A block is passed to the writer at this size or age: large enough to compress well, and recent enough that a killed
+# process loses at most half a second of records.
 BLOCK_BYTES = 64 * 1024
 BLOCK_SPAN_MS = 500.0
-# How long to wait between attempts to begin a file while nothing can be written: a checkpoint costs time.
+# The interval between attempts to begin a file while blocks cannot be written, as each attempt takes a checkpoint.
 RETRY_INTERVAL_MS = 1000.0
-# Records between checkpoints: about a second of replay, which is what `explain` waits at most.
+# Replaying this many records takes about a second, the longest that `explain` has to wait.
 CHECKPOINT_INTERVAL_RECORDS = 20_000
-# Checkpoints are also this many times the duration of the last one apart, so that they cost half a percent at most.
+# The interval between checkpoints is at least this multiple of the time that the last one took, so that checkpoints
+# use at most 0.5 % of the time.
 CHECKPOINT_COST_FACTOR = 200.0
 NEVER = float("-inf")
 
 
 class Recorder:
-    """A decision module that is recorded.  Without a capture none is built."""
+    """Wraps a decision module and records its calls.  It is only built while a capture is on."""
 
     def __init__(
         self,
@@ -39,10 +40,10 @@
         file_bytes: int,
         pseudonyms: Pseudonyms | None = None,
     ) -> None:
-        """Start with the first record; a file ends after `file_bytes` bytes of records.
+        """Prepare to record; a file ends after `file_bytes` bytes of records.
 
-        `full_actions` records actions as they are instead of as digests.  `pseudonyms` writes keyed hashes in the
-        place of ids, tenants and keys.
+        With `full_actions`, actions are recorded in full and not as digests.  `pseudonyms` replaces message ids,
+        tenants and ordering keys with keyed hashes.
         """
         self.policy = policy
         self.writer = writer
@@ -52,14 +53,14 @@
         self._file_bytes = file_bytes
         self._pseudonyms = pseudonyms
         self._records = list[bytes]()
-        """The records of the current block."""
+        """The records of the current block, not yet passed to the writer."""
         self._block_bytes = 0
         self._block_started_at = 0.0
-        # An earlier process may have written to the folder: its numbers are skipped, with a gap that shows.
+        # Record numbers continue after those of earlier processes in the folder, with a gap in between.
         self._first_record = writer.next_record
         self._bytes_in_file = 0
         self._started = False
-        # The very first record begins a file; later files begin at a decision.
+        # The first record begins a file; each later file begins at a decision.
         self._new_file_due = True
         self._retry_at = NEVER
         self._records_since_checkpoint = 0
@@ -72,7 +73,7 @@
         self.policy.handle(now, event)
 
     def decide(self, now: float) -> Sequence[Action]:
-        """Have the decision module decide, and record and return its actions."""
+        """Record and return the decision module's actions, after beginning a file or taking a checkpoint if due."""
         if (self._new_file_due or self.writer.needs_new_file) and now >= self._retry_at:
             self._begin_file(now)
         elif (
@@ -85,13 +86,13 @@
         return actions
 
     def permits(self, now: float, dest: int, endpoint_name: str) -> bool:
-        """Ask the decision module whether a call may still be sent, and record its answer."""
+        """Return whether the decision module permits a delayed call, and record the answer."""
         answer = self.policy.permits(now, dest, endpoint_name)
         self._append(now, records.encode_permission(now, dest, endpoint_name, answer))
         return answer
 
     def mark(self, now: float, subject: str, text: str = "") -> None:
-        """Record something that happened outside the decision module."""
+        """Record an occurrence outside the decision module."""
         self._append(now, records.encode_mark(now, subject, text))
 
     def start_new_file(self) -> None:
@@ -99,11 +100,11 @@
         self._new_file_due = True
 
     def record_count(self) -> int:
-        """Return the number of records so far, those of earlier processes included."""
+        """Return the number of the next record, which counts those of earlier processes in the folder too."""
         return self._first_record + len(self._records)
 
     def close(self, now: float) -> None:
-        """Hand over the remaining records, and wait until they are written."""
+        """Pass the remaining records to the writer, and wait until it has written them or its timeout expires."""
         self._flush_block(now)
         self.writer.close()
 
@@ -119,7 +120,7 @@
             self._flush_block(now)
 
     def _begin_file(self, now: float) -> None:
-        """Begin a new file, from the present state of the decision module."""
+        """Begin a new file with a checkpoint of the current state."""
         if self.writer.needs_new_file:
             self._drop_block(now)
         self._flush_block(now)
@@ -131,31 +132,32 @@
             self._first_record,
             self._pseudonyms is not None,
         )
-        first_records = [header, self._encode_state(now)]
+        first_records = [header, self._encode_checkpoint(now)]
         self._bytes_in_file = 0
         self._new_file_due = False
-        self._hand_over(True, first_records, now, now)
+        self._enqueue_block(True, first_records, now, now)
 
     def _drop_block(self, now: float) -> None:
-        """Leave out the current block, after an error of the writer."""
-        # A disk that is full or slow must not cost a checkpoint at each step.
+        """Discard the current block after a write error or a full queue."""
+        # While the disk is full or slow, a checkpoint at every decision would be too expensive.
         self._retry_at = now + RETRY_INTERVAL_MS
         self.telemetry.record_fault("capture.gaps", lost_from=self._first_record)
-        # The numbers show as missing: a replay must not go on over a gap.
+        # The missing numbers show the gap, which a replay must not continue across.
         self._first_record += len(self._records)
         self._records = []
         self._block_bytes = 0
 
     def _write_checkpoint(self, now: float) -> None:
-        """Write a block of its own in the middle of a file, for a replay to begin at."""
+        """Write a checkpoint as a block of its own within a file, where a replay can begin."""
         self._flush_block(now)
         if not self._new_file_due:
-            self._records = [self._encode_state(now)]
+            self._records = [self._encode_checkpoint(now)]
             self._block_started_at = now
             self._block_bytes = len(self._records[0])
             self._flush_block(now)
 
-    def _encode_state(self, now: float) -> bytes:
+    def _encode_checkpoint(self, now: float) -> bytes:
+        """Return a checkpoint of the current state, and set when the next one is due."""
         started_s = time.perf_counter()
         state = take_snapshot(self.policy)
         if self._pseudonyms:
@@ -173,11 +175,11 @@
         self._bytes_in_file += self._block_bytes
         self._records = []
         self._block_bytes = 0
-        self._hand_over(False, block_records, self._block_started_at, now)
-        # An operator's cut may be due already: it stays so until a file begins.
+        self._enqueue_block(False, block_records, self._block_started_at, now)
+        # An operator may have requested a new file already; the request stays pending until the file begins.
         self._new_file_due = self._new_file_due or self._bytes_in_file >= self._file_bytes
 
-    def _hand_over(
+    def _enqueue_block(
         self, new_file: bool, block_records: list[bytes], first_clock: float, last_clock: float
     ) -> None:
         if not self.writer.enqueue(new_file, block_records, self._first_record, first_clock, last_clock):
--- a/kestreltrack/capture/writer.py
+++ b/kestreltrack/capture/writer.py
@@ -1,7 +1,8 @@
-"""Writes a ring of files from a thread of its own, so that the event loop never waits for the disk.
+"""Writes a bounded set of files from a separate thread, so that the event loop never waits for the disk.
 
-The queue to the thread is bounded.  Where the queue or the disk is full, what cannot be written is counted and left
-out, and the next file begins with a new checkpoint: a capture may have gaps, but no file in it has one.
+The queue to the thread is bounded.  When the queue or the disk is full, blocks that cannot be written are counted and
+dropped, and recording continues with a new file and a new checkpoint: a capture may have gaps between its files, but
+not within one.
 """
 
 from __future__ import annotations
@@ -18,23 +19,23 @@
 from kestreltrack.capture.reader import FILE_PATTERN, NotACaptureError, Reader
 from kestreltrack.capture.records import is_checkpoint
 
-# About a megabyte of records on the way to the thread; a disk that is slower than that loses blocks.
+# About a megabyte of records; further blocks are dropped when the disk cannot keep up.
 MAX_QUEUED_BLOCKS = 16
-# A file is named by the number of its first record, so that names sort in the order of writing.
+# The number is that of the first record, so that sorted names are in the order of writing.
 FILE_NAME_FORMAT = "capture-{:012d}.ktc"
-# How long a sender waits at its end for the thread to write what is queued.
+# The time that a sender allows the thread at shutdown to write the queued blocks.
 CLOSE_TIMEOUT_S = 2.0
-# The same for a capture on a virtual clock, where everything must be written.
+# The same for a capture on a virtual clock, whose blocks must all be written.
 BLOCKING_CLOSE_TIMEOUT_S = 60.0
 
 
 class CaptureFullError(OSError, CaptureError):
-    """The capture has used up the bytes that the operator's settings allow, and no older file can be deleted."""
+    """The capture has reached the size that the operator's settings allow, and no older file can be deleted."""
 
 
 @dataclass(frozen=True, slots=True)
 class _QueuedBlock:
-    """A block on its way to the thread; `new_file` where a file begins with it."""
+    """A block that waits for the thread; `new_file` means that a new file begins with it."""
 
     new_file: bool
     records: list[bytes]
@@ -54,25 +55,26 @@
     ) -> None:
         """Start the thread.
 
-        Files beyond the limits are deleted, the oldest first.  `on_error` receives errors of writing, in the thread.
+        Files beyond the limits are deleted, the oldest first.  `on_error` is called in the thread with the text of
+        each write error.
         """
         self.folder = folder
         self.max_bytes = max_bytes
         self.max_age_s = max_age_s
         self._on_error = on_error
-        # Set by the thread: it has not written anything since an error.
+        # Set by the thread: a write failed, and no new file has been begun since.
         self._failed = threading.Event()
-        # Set by the event loop: it has not enqueued anything since the queue was full.
+        # Set by the event loop: the queue was full, and no block has been enqueued since.
         self._dropped = False
         self._queue: queue.Queue[_QueuedBlock | None] = queue.Queue(MAX_QUEUED_BLOCKS)
         self._file: Path | None = None
         self.next_record = self._find_next_record()
-        """The first number for the records of this process."""
+        """The number of the first record of this process."""
         self._thread = threading.Thread(target=self._run, name="capture", daemon=True)
         self._thread.start()
 
     def _find_next_record(self) -> int:
-        """Return a number behind all records in the folder, one left out, so that a gap shows between processes."""
+        """Return a number after those of all records in the folder; one is skipped as a gap between processes."""
         files = sorted(self.folder.glob(FILE_PATTERN))
         if not files:
             return 0
@@ -87,10 +89,10 @@
     def enqueue(
         self, new_file: bool, records: list[bytes], first_record: int, first_clock: float, last_clock: float
     ) -> bool:
-        """Hand over a block, of a new file or the present one; return whether the queue had room.
+        """Queue a block of the current file or of a new one; return whether the queue had capacity.
 
-        After a block that found no room nothing more of that file is taken: behind the first block of a file there
-        are only blocks that follow it without a gap, whatever the thread does meanwhile.
+        After a block is dropped, later blocks of the same file are dropped too, until a new file begins.  So the
+        queued blocks of a file follow its first one without a gap, whatever the thread has written in the meantime.
         """
         if self._dropped and not new_file:
             return False
@@ -104,15 +106,15 @@
 
     @property
     def needs_new_file(self) -> bool:
-        """Whether the next block must begin a new file."""
+        """Whether the current file has lost blocks, so that the next block must begin a new file."""
         return self._dropped or self._failed.is_set()
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Have the thread write what is queued, and wait for its end, up to the timeout."""
+        """Let the thread write the queued blocks, and wait until it ends, for each step up to the timeout."""
         try:
             self._queue.put(None, timeout=timeout_s)
         except queue.Full:
-            # The thread is a daemon and ends with the process.
+            # The thread is a daemon thread and ends with the process.
             return
         self._thread.join(timeout_s)
 
@@ -122,7 +124,7 @@
             if block is None:
                 return
             if self._failed.is_set() and not block.new_file:
-                # The block belongs to a file that has a gap and could not be replayed.
+                # Its file misses an earlier block, so a replay could not use this one.
                 continue
             checkpoint = block.new_file or is_checkpoint(block.records[0])
             data = blocks.pack_block(
@@ -137,7 +139,7 @@
                 self._on_error(str(error))
 
     def _write(self, new_file: bool, block: bytes, first_record: int) -> None:
-        """Append a packed block to the present file, or to a new one."""
+        """Append a packed block to the current file, or to a new one."""
         if new_file or self._file is None:
             self._file = self.folder / FILE_NAME_FORMAT.format(first_record)
             self._delete_old_files(self._file, len(block))
@@ -154,16 +156,16 @@
             with path.open("ab") as file:
                 file.write(data)
         except OSError:
-            # Half a block would look like a torn end of the file.
+            # A partial block would make the file look truncated.
             with path.open("ab") as file:
                 file.truncate(size_before)
             raise
 
     def _delete_old_files(self, current: Path, needed_bytes: int) -> None:
-        """Delete files that are too old or too many, but not the current one.
+        """Delete the oldest files beyond the limits of size and age, but not the current one.
 
         Raises:
-            CaptureFullError: There is no room for the bytes that are needed.
+            CaptureFullError: The needed bytes would exceed the size limit.
         """
         files = sorted(self.folder.glob(FILE_PATTERN))
         size_of = {file: file.stat().st_size for file in files}
@@ -171,27 +173,27 @@
         for file in files:
             if file == current:
                 continue
-            too_many = sum(size_of.values()) + needed_bytes > self.max_bytes
-            if too_many or file.stat().st_mtime < oldest_s:
+            exceeds_size = sum(size_of.values()) + needed_bytes > self.max_bytes
+            if exceeds_size or file.stat().st_mtime < oldest_s:
                 file.unlink()
                 del size_of[file]
         if sum(size_of.values()) + needed_bytes > self.max_bytes:
-            raise CaptureFullError(f"the capture's {self.max_bytes} bytes are full")
+            raise CaptureFullError(f"the capture has reached its limit of {self.max_bytes} bytes")
 
 
 class BlockingWriter(Writer):
-    """A writer that waits for its thread.
+    """A writer whose `enqueue` waits for the thread and drops no block.
 
-    It is for captures on a virtual clock, which is faster than any disk, and not for a sender that serves.
+    It is for captures on a virtual clock, which may run faster than the disk, and not for a sender in service.
     """
 
     def enqueue(
         self, new_file: bool, records: list[bytes], first_record: int, first_clock: float, last_clock: float
     ) -> bool:
-        """Hand over a block, however long it takes; return `True`."""
+        """Queue a block, waiting as long as the queue is full; return `True`."""
         self._queue.put(_QueuedBlock(new_file, records, first_record, first_clock, last_clock))
         return True
 
     def close(self, timeout_s: float = BLOCKING_CLOSE_TIMEOUT_S) -> None:
-        """Have the thread write what is queued, and wait for its end, up to the timeout."""
+        """Let the thread write the queued blocks, and wait until it ends, for each step up to the timeout."""
         super().close(timeout_s)
--- a/tests/test_capture_restart.py
+++ b/tests/test_capture_restart.py
@@ -1,4 +1,4 @@
-"""What restarts and crashes leave in a capture: files that replay, with a gap between two processes."""
+"""A capture over restarts and crashes of a sender replays, with a gap between two processes."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from kestreltrack.decision import EndpointsUpdated, MessageArrived, Policy, TimerExpired
 from kestreltrack.explain import message_timeline
 from kestreltrack.telemetry import Telemetry
-from kestreltrack.testing.demo.environment import SETTINGS as WORLD_SETTINGS
+from kestreltrack.testing.demo.environment import SETTINGS as DEMO_SETTINGS
 from kestreltrack.testing.demo.environment import DemoEnvironment
 
 
 def test_a_capture_over_restarts_in_one_folder_replays(tmp_path: Path) -> None:
-    """Also after a crash: what the first process handed over stays, and each recovery follows a gap."""
+    """Processes that crash leave the records that they passed to their writer, and each restart follows a gap."""
     now = 0.0
     for process in range(3):
         writer = BlockingWriter(tmp_path, 10**8, 1e9, print)
         recorder = Stepping(Policy(SETTINGS, process), writer, Telemetry(), "n1", False, 10**8)
-        recovered = (
-            [MessageArrived("m1", 1, "keyed", 15_000.0, attempts=process, ambiguous_since=now - 500.0)]
-            if process
-            else []
-        )
+        recovered = list[MessageArrived]()
+        if process:
+            recovered.append(
+                MessageArrived("m1", 1, "keyed", 15_000.0, attempts=process, ambiguous_since=now - 500.0)
+            )
         recorder.step(now, [EndpointsUpdated([entry(1)], complete=True, cached=bool(process)), *recovered])
         if not process:
             recorder.step(now, [MessageArrived("m1", 1, "keyed", 15_000.0)])
@@ -40,39 +40,46 @@
         recorder._flush_block(now)
         if process == 2:
             recorder.close(now)
-        writer.close()  # its thread writes what it has; the recorder of a killed process says nothing more
+        # Lets the thread write the queued blocks; the recorder of a crashed process is not closed.
+        writer.close()
         now += 1000.0
     files = capture_files([tmp_path])
-    done = replay(files)
-    assert len(files) == 3 and done.identical() and not done.faults and done.events["Arrived"] == 3
+    result = replay(files)
+    assert len(files) == 3
+    assert result.identical()
+    assert not result.faults
+    assert result.events["Arrived"] == 3
     timelines = message_timeline.build_timelines(CaptureFiles(files), "m1")
-    assert [each.attempts_before for each in timelines] == [0, 1, 2] and all(
-        each.attempts for each in timelines
-    )
+    assert [timeline.attempts_before for timeline in timelines] == [0, 1, 2]
+    assert all(timeline.attempts for timeline in timelines)
 
 
 def test_a_killed_sender_leaves_a_capture_that_replays(tmp_path: Path) -> None:
-    """SIGKILL under load on sockets, and a second process in the same folder."""
+    """A sender process is killed with SIGKILL under load, and a second one uses the same folder."""
     folder = tmp_path / "capture"
 
     async def run_two_processes() -> int:
-        world = DemoEnvironment(tmp_path, seed=3, destination_count=6, capture=folder)
-        await world.start()
-        assert world.load_generator
-        await world.load_generator.run(80.0, 2.0, world.draw_message)
-        await world.sender.signal(signal.SIGKILL)
-        assert world.sender.process
-        await world.sender.process.wait()
-        await world.sender.start(world.platform.address, WORLD_SETTINGS, world.operator_environment())
-        await world.wait_until_settled(15.0)
-        pending = len(world.pending())
-        await world.stop()
+        environment = DemoEnvironment(tmp_path, seed=3, destination_count=6, capture=folder)
+        await environment.start()
+        assert environment.load_generator
+        await environment.load_generator.run(80.0, 2.0, environment.draw_message)
+        await environment.sender.signal(signal.SIGKILL)
+        assert environment.sender.process
+        await environment.sender.process.wait()
+        await environment.sender.start(
+            environment.platform.address, DEMO_SETTINGS, environment.operator_environment()
+        )
+        await environment.wait_until_settled(15.0)
+        pending = len(environment.pending())
+        await environment.stop()
         return pending
 
     assert asyncio.run(run_two_processes()) == 0
     files = capture_files([folder])
-    done = replay(files)
-    assert done.identical() and not done.faults and len(files) == 2 and done.events["Arrived"] >= 100
-    capture = CaptureFiles(files)
-    steps = [step for step in capture.steps() if step.after_gap]
-    assert len(steps) == 2, "the second process follows a gap"
+    result = replay(files)
+    assert result.identical()
+    assert not result.faults
+    assert len(files) == 2
+    assert result.events["Arrived"] >= 100
+    first_steps = [step for step in CaptureFiles(files).steps() if step.after_gap]
+    assert len(first_steps) == 2, "the records of the second process follow a gap"
