--- a/kestreltrack/config/__init__.py
+++ b/kestreltrack/config/__init__.py
@@ -1,4 +1,4 @@
-"""Reads, checks and defaults all configuration; an error names the faulty key."""
+"""Loads and validates the configuration and applies defaults; an error names the invalid key."""
 
 from kestreltrack.config.errors import ConfigError, MissingExtraError
 
--- a/kestreltrack/config/errors.py
+++ b/kestreltrack/config/errors.py
@@ -1,18 +1,18 @@
-"""The errors of the configuration: each ends a start, or leaves a reload without effect."""
+"""Configuration errors: at startup they end the process, on a reload the previous configuration stays in effect."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text names the key at fault."""
+    """The configuration is invalid; the message names the key."""
 
 
 class MissingExtraError(ConfigError):
-    """A library is not installed; the text says which extra brings it.
+    """An optional library is not installed; the message names the extra that installs it.
 
     Attributes:
-        library: The name under which the library is imported.
-        extra: The extra of `pyproject.toml` that brings the library.
+        library: The import name of the library.
+        extra: The extra in `pyproject.toml` that installs the library.
     """
 
     def __init__(self, library: str, extra: str) -> None:
--- a/kestreltrack/config/extras.py
+++ b/kestreltrack/config/extras.py
@@ -1,4 +1,4 @@
-"""Names the extra of `pyproject.toml` that brings a library, for an installation that lacks the library."""
+"""Maps optional libraries to the extras in `pyproject.toml` that install them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 __all__ = ["EXTRA_BY_LIBRARY", "MissingExtraError", "reporting_missing_extras"]
 
-# Each optional library, by the name under which it is imported, with the smallest extra that brings it.
+# The smallest extra that installs each optional library, by import name.
 EXTRA_BY_LIBRARY = {
     "google": "etcd",
     "grpclib": "etcd",
@@ -27,16 +27,16 @@
 
 @contextmanager
 def reporting_missing_extras() -> Iterator[None]:
-    """Turn the lack of an optional library into `MissingExtraError`; let any other error pass.
+    """Convert the failed import of an optional library to `MissingExtraError`; other errors propagate unchanged.
 
     Raises:
-        MissingExtraError: The body imported a library of an extra that is not installed.
+        MissingExtraError: The body imported an optional library that is not installed.
     """
     try:
         yield
     except ModuleNotFoundError as error:
         library = (error.name or "").partition(".")[0]
         if library not in EXTRA_BY_LIBRARY:
-            # Not an optional library: a fault of the program, which must not read like an installation's.
+            # Not an optional library: a defect in the program, which must not be reported as a missing extra.
             raise
         raise MissingExtraError(library, EXTRA_BY_LIBRARY[library]) from error
--- a/kestreltrack/config/operator.py
+++ b/kestreltrack/config/operator.py
@@ -1,12 +1,12 @@
-"""The operator's file (`deploy/kestreltrack.toml`): what this sender does beyond what the platform asks.
+"""Loads the operator's file (`deploy/kestreltrack.toml`), which enables features that the platform does not require.
 
-Every key can also be set by a variable (`directory.etcd.page` by `KESTRELTRACK_DIRECTORY_ETCD_PAGE`; lists with
-commas) and by a flag (`--set directory.etcd.page=500`): a flag goes before a variable, a variable before the file,
-the file before the default.  Secrets come from a file of their own or from a variable, never from a flag, and are
-never printed.
+Every key can also be set by an environment variable (`directory.etcd.page` by `KESTRELTRACK_DIRECTORY_ETCD_PAGE`;
+list items are separated by commas) and by a flag (`--set directory.etcd.page=500`).  Flags take precedence over
+variables, variables over the file, and the file over the defaults.  Secrets are read from a separate file or from a
+variable, never from a flag, and are never printed.
 
-This module is imported only where a file, a variable or a flag asks for it: without them the sender is what the
-platform asks for and no more.
+This module is imported only if a file, a variable or a flag is given: without them the sender has only the features
+that the platform requires.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 FILE_VARIABLE = "KESTRELTRACK_OPERATOR_FILE"
 VARIABLE_PREFIX = "KESTRELTRACK_"
 DEFAULT_ORIGIN = "default"
-# What msgspec says of a value, and where it stands: "Expected `int` >= 1 - at `$.directory.etcd.page`".
-ERROR_LOCATION = re.compile(r"^(?P<what>.*?)(?: - at `\$\.?(?P<at>[^`]*)`)?$", re.DOTALL)
-UNKNOWN_FIELD = re.compile(r"unknown field `(?P<key>[^`]*)`")
-LIST_INDEX = re.compile(r"\[[^]]*\]")
+# Splits a msgspec error into description and key: "Expected `int` >= 1 - at `$.directory.etcd.page`".
+ERROR_PATTERN = re.compile(r"^(?P<description>.*?)(?: - at `\$\.?(?P<key>[^`]*)`)?$", re.DOTALL)
+UNKNOWN_FIELD_PATTERN = re.compile(r"unknown field `(?P<key>[^`]*)`")
+LIST_INDEX_PATTERN = re.compile(r"\[[^]]*\]")
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedOperatorConfig:
-    """The operator's settings in force.
+    """The operator's settings in effect.
 
     Attributes:
-        config: The checked tables.
-        origins: Where the value of each key came from, by the key's dotted name.
-        password: etcd's password; apart from the tables, and never printed.
+        config: The validated tables.
+        origins: The source of each value (flag, variable, file or default) by dotted key.
+        password: The etcd password; kept out of the tables so that it is never printed.
     """
 
     config: OperatorConfig
@@ -49,7 +49,7 @@
 
 
 class EffectiveValue(NamedTuple):
-    """The value of a key, and where it came from."""
+    """The value of a key and the source that set it."""
 
     key: str
     value: Any
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyField:
-    """Where the value of a key is found.
+    """The location and type of a key's value in `OperatorConfig`.
 
     Attributes:
-        attributes: The attributes from `OperatorConfig` down to the value.
+        attributes: The attribute path from `OperatorConfig` to the value.
         value_type: The type of the value.
     """
 
@@ -72,7 +72,7 @@
 def _leaf_fields(
     struct_type: type[msgspec.Struct], prefix: str = "", parents: tuple[str, ...] = ()
 ) -> Iterator[tuple[str, KeyField]]:
-    """Yield each key below a table by its dotted name in the file, with its field."""
+    """Yield the dotted key, as written in the file, and the field of each value in a table and its subtables."""
     for item in msgspec.structs.fields(struct_type):
         key = f"{prefix}{item.encode_name}"
         attributes = (*parents, item.name)
@@ -84,7 +84,7 @@
 
 
 def _table_type(field_type: Any) -> type[msgspec.Struct] | None:
-    """Return the table that a field holds, also an optional one; None for a plain value."""
+    """Return the table type of a field that holds a table or an optional table; `None` for a plain value."""
     for option in getattr(field_type, "__args__", (field_type,)):
         if isinstance(option, type) and issubclass(option, msgspec.Struct):
             return option
@@ -95,17 +95,17 @@
 
 
 def variable_name(key: str) -> str:
-    """Return the name of the variable that sets a key."""
+    """Return the name of the environment variable that sets a key."""
     return VARIABLE_PREFIX + key.upper().replace(".", "_")
 
 
 def load_operator_config(
     env: Mapping[str, str], flags: Mapping[str, str] | None = None
 ) -> LoadedOperatorConfig:
-    """Read and check the operator's file, variables and flags.
+    """Load and validate the operator's file, variables and flags.
 
     Raises:
-        ConfigError: Something cannot be used; its one line names source, key and what was expected.
+        ConfigError: A value is invalid; the one-line message names its source, its key and what was expected.
     """
     path = env.get(FILE_VARIABLE, "")
     table = _read_file(path)
@@ -115,7 +115,7 @@
     try:
         config = msgspec.convert(table, OperatorConfig, strict=False)
     except msgspec.ValidationError as error:
-        raise ConfigError(_error_line(str(error), origins, path)) from None
+        raise ConfigError(_format_error(str(error), origins, path)) from None
     for key in FIELDS_BY_KEY:
         origins.setdefault(key, DEFAULT_ORIGIN)
     password = validate(config, origins, env)
@@ -123,12 +123,12 @@
 
 
 def effective_values(operator_config: LoadedOperatorConfig) -> list[EffectiveValue]:
-    """Return each key with its value and origin; secrets are not among them."""
+    """Return each key with its value and origin, without secrets."""
     rows = list[EffectiveValue]()
     for key, key_field in FIELDS_BY_KEY.items():
         value: Any = operator_config.config
         for attribute in key_field.attributes:
-            # An optional table that is not set has no values.
+            # The keys of an optional table that is not set have no value.
             value = None if value is None else getattr(value, attribute)
         rows.append(EffectiveValue(key, value, operator_config.origins[key]))
     return rows
@@ -144,7 +144,7 @@
 
 
 def _flatten_keys(table: Mapping[str, Any], prefix: str = "") -> Iterator[str]:
-    """Yield the dotted names of the keys that a table sets."""
+    """Yield the dotted keys that a table sets."""
     for name, value in table.items():
         key = f"{prefix}{name}"
         if isinstance(value, dict) and key not in FIELDS_BY_KEY:
@@ -162,7 +162,7 @@
             origins[key] = f"variable {name}"
         elif name.startswith(VARIABLE_PREFIX) and name not in (FILE_VARIABLE, PASSWORD_VARIABLE):
             raise ConfigError(
-                f"{name}: no such key; a variable is named like {variable_name('directory.source')}"
+                f"{name}: no such key; variables have names like {variable_name('directory.source')}"
             )
 
 
@@ -179,28 +179,28 @@
     for part in path:
         inner = table.setdefault(part, {})
         if not isinstance(inner, dict):
-            # The check of types will name it.
+            # A plain value where a table belongs: the type validation reports it.
             return
         table = inner
     table[last] = value
 
 
 def _split_if_list(key: str, text: str) -> str | list[str]:
-    """Split the text of a variable or flag where the key holds a list; the check of types converts the rest."""
+    """Split the text of a variable or flag if the key holds a list; other types are converted during validation."""
     if "tuple" not in str(FIELDS_BY_KEY[key].value_type):
         return text
     return [part.strip() for part in text.split(",") if part.strip()]
 
 
-def _error_line(text: str, origins: Mapping[str, str], path: str) -> str:
-    """Return msgspec's error as one line that names source and key."""
-    found = ERROR_LOCATION.match(text)
-    what = found["what"] if found else text
-    key = (found["at"] or "") if found else ""
-    key = LIST_INDEX.sub("", key)
-    unknown = UNKNOWN_FIELD.search(what)
+def _format_error(text: str, origins: Mapping[str, str], path: str) -> str:
+    """Return the message of a msgspec error as one line that names the source and the key."""
+    found = ERROR_PATTERN.match(text)
+    description = found["description"] if found else text
+    key = (found["key"] or "") if found else ""
+    key = LIST_INDEX_PATTERN.sub("", key)
+    unknown = UNKNOWN_FIELD_PATTERN.search(description)
     if unknown:
         key = f"{key}.{unknown['key']}".lstrip(".")
-        what = "no such key"
+        description = "no such key"
     source = origins.get(key) or (f"file {path}" if path else "operator's settings")
-    return f"{source}: {key}: {what[:1].lower()}{what[1:]}"
+    return f"{source}: {key}: {description[:1].lower()}{description[1:]}"
--- a/kestreltrack/config/operator_validation.py
+++ b/kestreltrack/config/operator_validation.py
@@ -1,4 +1,4 @@
-"""Checks of the operator's settings that types cannot express: addresses, secrets, and keys that need one another."""
+"""Validates what the types of the operator's settings cannot express: addresses, secrets and dependent keys."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 from kestreltrack.http1 import split_address
 
 PASSWORD_VARIABLE = "KESTRELTRACK_DIRECTORY_ETCD_PASSWORD"
-# A voter's name, and the id of its folder in hexadecimal once that is known.
+# The name of a voter, followed by the hexadecimal id of its state folder once that is known.
 VOTER_PATTERN = re.compile(r"^[^=]{1,64}(=[0-9a-f]{32})?$")
 
 
 def validate(config: OperatorConfig, origins: Mapping[str, str], env: Mapping[str, str]) -> str:
-    """Check what types cannot express, and return etcd's password.
+    """Validate the settings beyond their types, and return the etcd password.
 
     Args:
         config: The tables.
-        origins: Where the value of each key came from, for the text of errors.
-        env: The environment variables, of which one may hold the password.
+        origins: The source of the value of each key, for error messages.
+        env: The environment variables, one of which may hold the password.
 
     Raises:
-        ConfigError: A value cannot be used; the text names its origin and key.
+        ConfigError: A value is invalid; the message names its source and its key.
     """
     _validate_etcd(config.directory, origins)
     _validate_fleet(config.fleet, origins)
-    if config.fleet.follow_relays and config.directory.etcd.follow_relays:
+    if config.fleet.follow_member_count and config.directory.etcd.follow_member_count:
         raise _key_error(
-            origins, "fleet.follow_relays", "expected only one of it and directory.etcd.follow_relays"
+            origins, "fleet.follow_relays", "cannot be combined with directory.etcd.follow_relays"
         )
     _validate_voters(config.fleet, origins)
     folder = config.capture.folder
     if folder and not os.access(folder, os.W_OK | os.X_OK):
-        raise _key_error(origins, "capture.folder", f"expected a folder to write in, got {folder!r}")
+        raise _key_error(origins, "capture.folder", f"expected a writable folder, got {folder!r}")
     return _load_password(config.directory.etcd, origins, env)
 
 
@@ -48,7 +48,7 @@
         raise _key_error(
             origins,
             "directory.etcd.members",
-            "expected at least one address, since directory.source is etcd",
+            "expected at least one address, because directory.source is etcd",
         )
     if etcd.tls is None:
         return
@@ -66,22 +66,24 @@
         raise _key_error(
             origins, "fleet.listen", "expected a port that others can be told, or fleet.advertise"
         )
-    if fleet.answer_ms * 2 > fleet.round_ms:
+    if fleet.probe_timeout_ms * 2 > fleet.probe_interval_ms:
         raise _key_error(
             origins,
             "fleet.answer_ms",
-            "expected at most half of fleet.round_ms: the rest is for indirect probes",
+            "expected at most half of fleet.round_ms: the remaining time is for indirect probes",
         )
 
 
 def _validate_voters(fleet: FleetTable, origins: Mapping[str, str]) -> None:
     key = "fleet.agreed.voters"
-    voters = fleet.agreed.voters
+    voters = fleet.replicated_config.voters
     if voters and not fleet.listen:
         raise _key_error(origins, key, "expected together with fleet.listen")
     for voter in voters:
         if not VOTER_PATTERN.match(voter):
-            raise _key_error(origins, key, f"expected name=id, or name until its id is known, got {voter!r}")
+            raise _key_error(
+                origins, key, f"expected name=id, or only the name until the id is known, got {voter!r}"
+            )
     if len({voter.partition("=")[0] for voter in voters}) < len(voters):
         raise _key_error(origins, key, "expected each name once")
 
@@ -109,7 +111,7 @@
 
 
 def _require_private_file(key: str, path: str, origins: Mapping[str, str]) -> None:
-    """Raise `ConfigError` unless the file can be found and only its owner may read it: it holds a secret."""
+    """Raise `ConfigError` unless the file, which holds a secret, exists and is accessible only to its owner."""
     try:
         mode = os.stat(path).st_mode
     except OSError as error:
--- a/kestreltrack/config/sender.py
+++ b/kestreltrack/config/sender.py
@@ -1,4 +1,4 @@
-"""The configuration of one real sender: the ``GW_*`` variables and the JSON file that ``GW_CONFIG`` names."""
+"""Loads the configuration of a sender process: the `GW_*` variables and the JSON file that `GW_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 __all__ = ["ConfigError", "SenderConfig", "keys_needing_restart", "load_sender_config"]
 
 DEFAULT_LIMITS = {"memory_mb": 192.0, "sockets": 1024.0, "disk_mb": 3.0}
-# What the interpreter and the libraries take, and a little.
+# The interpreter and the libraries, with a small reserve.
 MIN_MEMORY_MB = 24.0
-# The journal has to hold some messages.
+# Room for a few messages in the journal.
 MIN_DISK_MB = 0.05
-# Below this a sender cannot hold its lock files, its clients and its own files.
+# The sender's lock files, its other files and a few client connections.
 MIN_SOCKETS = 32
-# The backlog of a listening socket is a C integer in the kernel's interface.
+# Keeps the backlog of the listening socket, a C integer, within its range.
 MAX_SOCKETS = 1e6
 BYTES_PER_MB = 1e6
-# An endpoint's connection table counts idle connections too: the more senders share it, the sooner an idle
-# connection has to be closed.  This is the sum over all senders.
+# Sum of the keepalive times of all senders.  Idle connections take entries in an endpoint's connection table, so the
+# more senders share an endpoint, the sooner each has to close them.
 TOTAL_KEEPALIVE_MS = 100_000.0
-# For one sender: some round trips at the least, or a connection would be closed between two requests in a row.
+# For one sender: several round trips, or a connection could be closed between two consecutive requests.
 MIN_KEEPALIVE_MS = 1500.0
 
-# The attributes of `SenderConfig` that are read at a start alone, with the keys that set them.
+# The attributes of `SenderConfig` that are read only at startup, with the keys that set them.
 _RESTART_KEY_BY_ATTRIBUTE = {
     "name": "name",
     "listen": "listen",
@@ -48,20 +48,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderConfig:
-    """The checked configuration of a real sender.
+    """The validated configuration of a sender process.
 
     Attributes:
-        name: The sender's name in its log and towards other senders.
-        listen: The address, ``host:port``, on which clients are served.
-        discovery: The address, ``host:port``, of the platform's service discovery.
-        state: The folder of the journal and of what else outlives the process.
+        name: The name of the sender in its log and in messages to other senders.
+        listen: The address (`host:port`) that accepts client connections.
+        discovery: The address (`host:port`) of the platform's service discovery.
+        state: The folder of the journal and of all other persistent state.
         seed: The seed of the decision module's random choices.
-        sockets: How many sockets the process may hold.
-        memory_bytes: How much memory the process may use.
-        disk_bytes: How much disk the state folder may take.
+        sockets: The maximum number of open sockets.
+        memory_bytes: The maximum memory of the process.
+        disk_bytes: The maximum size of the state folder.
         settings: The settings of the decision module.
-        initial_endpoints: The endpoint list to start with, if the file has one.
-        admin_address: The address, ``host:port``, of the operators' HTTP calls; empty where there is none.
+        initial_endpoints: The endpoint list to start with; `None` if the file has none.
+        admin_address: The address (`host:port`) of the operators' HTTP interface; empty if it is disabled.
     """
 
     name: str
@@ -78,7 +78,7 @@
 
 
 def keys_needing_restart(old: SenderConfig, new: SenderConfig) -> list[str]:
-    """Return the keys whose values differ and that are read at a start alone."""
+    """Return the keys whose values differ and that take effect only after a restart."""
     changed = [
         key
         for attribute, key in _RESTART_KEY_BY_ATTRIBUTE.items()
@@ -93,21 +93,21 @@
 
 
 def load_sender_config(env: Mapping[str, str], reload: bool = False) -> SenderConfig:
-    """Read and check the variables and the file; a variable goes before the file's key.
+    """Load and validate the variables and the file; a variable takes precedence over a key in the file.
 
     Args:
         env: The environment variables.
-        reload: Whether the file is read again by a running sender.  Its `discovery` then goes before the
-            variable: that is how the service discovery's address is changed.
+        reload: Whether a running sender reads the file again.  The file's `discovery` then takes precedence over the
+            variable, so that the address of the service discovery can be changed.
 
     Raises:
-        ConfigError: Something is missing or cannot be used; the text names the variable or key.
+        ConfigError: A value is missing or invalid; the message names the variable or key.
     """
     table = _read_config_file(env.get("GW_CONFIG", ""))
     state = _parse_state_folder(env.get("GW_STATE", ""))
     limits = table.get("limits", {})
     if not isinstance(limits, dict):
-        raise ConfigError("limits: not an object")
+        raise ConfigError("limits: expected an object")
     settings = _load_settings(table.get("settings"))
     initial_endpoints = _parse_initial_endpoints(table.get("known"))
     return SenderConfig(
@@ -131,7 +131,7 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"GW_CONFIG: {path}: {error}") from error
     if not isinstance(table, dict):
-        raise ConfigError("GW_CONFIG: names no file with a JSON object")
+        raise ConfigError("GW_CONFIG: expected the path of a file that contains a JSON object")
     return table
 
 
@@ -142,16 +142,16 @@
     return state
 
 
-def _load_settings(rows: Any) -> Settings:
-    """Return the settings of the decision module, as they hold for a sender on real sockets."""
+def _load_settings(document: Any) -> Settings:
+    """Return the settings of the decision module, adjusted to connections over TCP."""
     try:
-        parsed = parse_settings(rows).settings
+        parsed = parse_settings(document).settings
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"settings: {error}") from error
     if parsed.connect_timeout_ms <= 0:
-        # No connection would ever come up.
+        # Every connection attempt would time out.
         raise ConfigError("settings: setting allowed.connectTimeoutMs is out of range: it has to be above 0")
-    # On sockets a connection carries one call at a time, whatever the simulator's does.
+    # A real connection carries one call at a time, even if the simulator's multiplexes.
     return replace(parsed, requests_per_connection=1, keepalive_ms=_effective_keepalive_ms(parsed))
 
 
@@ -159,19 +159,19 @@
     return min(settings.keepalive_ms, max(MIN_KEEPALIVE_MS, TOTAL_KEEPALIVE_MS / settings.sender_count))
 
 
-def _parse_initial_endpoints(rows: Any) -> EndpointListUpdate | None:
-    if not rows:
+def _parse_initial_endpoints(document: Any) -> EndpointListUpdate | None:
+    if not document:
         return None
     try:
-        return parse_update(rows)
+        return parse_update(document)
     except ValueError as error:
         raise ConfigError(f"known: {error}") from error
 
 
-def _parse_discovery_address(variable: str | None, key: Any, reload: bool) -> str:
-    if key and (reload or not variable):
-        return _parse_address("discovery", key)
-    return _parse_address("GW_DISCOVERY", variable)
+def _parse_discovery_address(from_variable: str | None, from_file: Any, reload: bool) -> str:
+    if from_file and (reload or not from_variable):
+        return _parse_address("discovery", from_file)
+    return _parse_address("GW_DISCOVERY", from_variable)
 
 
 def _parse_admin_address(value: Any) -> str:
@@ -190,7 +190,7 @@
     try:
         return int(value, 16) if isinstance(value, str) else int(value)
     except (TypeError, ValueError) as error:
-        raise ConfigError(f"seed: {value!r} is not a number in hexadecimal") from error
+        raise ConfigError(f"seed: {value!r} is not a hexadecimal number") from error
 
 
 def _parse_limit(limits: Mapping[str, Any], key: str, minimum: float, maximum: float = math.inf) -> float:
--- a/kestreltrack/config/settings.py
+++ b/kestreltrack/config/settings.py
@@ -1,6 +1,6 @@
-"""Translates the settings of an instance, nested JSON, into the settings of the decision module.
+"""Converts the settings of an instance, a nested JSON document, to the settings of the decision module.
 
-Shared by the simulator's adapter and the real sender; nothing is decided here.
+Used by both the simulator's adapter and the sender process.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 
 
 class ParsedSettings(NamedTuple):
-    """What an instance is set to.
+    """The settings of an instance.
 
     Attributes:
         settings: The settings of the decision module.
-        load_report_fields: The names of the fields of a load report, in their order.
+        load_report_fields: The field names of a load report, in order.
     """
 
     settings: Settings
@@ -52,27 +52,27 @@
 
 
 def _invalid_setting(text: str) -> ValueError:
-    """Return the error of a faulty setting.
+    """Return the error for an invalid setting.
 
-    A plain `ValueError`, since the simulator's protocol carries the name of the type; the sender's configuration
-    turns it into a `ConfigError`.
+    It is a plain `ValueError`, because the simulator's protocol transmits the name of the type; `config.sender`
+    converts it to a `ConfigError`.
     """
     return ValueError(text)
 
 
 class _Table:
-    """An object of the file; an error names what is missing or wrong as it stands in the file."""
+    """A JSON object whose values are validated when they are read; errors name the key as written in the file."""
 
-    def __init__(self, rows: Any, name: str = "settings", prefix: str = "") -> None:
-        """Wrap `rows`, called `name` in errors; `prefix` goes before the names of its keys."""
-        if not isinstance(rows, Mapping):
+    def __init__(self, values: Any, name: str = "settings", prefix: str = "") -> None:
+        """Wrap `values`; errors call it `name` and put `prefix` before its keys."""
+        if not isinstance(values, Mapping):
             raise _invalid_setting(f"{name} is not an object")
-        self._rows: Mapping[str, Any] = rows
+        self._values: Mapping[str, Any] = values
         self._prefix = prefix
 
     def get(self, path: str, *default: Any) -> Any:
-        """Return a setting by its dotted name; without a default it is required."""
-        value: Any = self._rows
+        """Return a setting by its dotted key; it is required unless a default is given."""
+        value: Any = self._values
         for part in path.split("."):
             if not isinstance(value, Mapping) or value.get(part) is None:
                 if default:
@@ -89,7 +89,7 @@
         exclusive_minimum: float = -math.inf,
         maximum: float = math.inf,
     ) -> float:
-        """Return a finite number within its bounds."""
+        """Return a finite number within the given bounds."""
         value = self.get(path, *default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
             raise self._error(path, f"is not a number: {value!r}")
@@ -102,26 +102,26 @@
         return float(value)
 
     def integer(self, path: str, *default: int, minimum: float) -> int:
-        """Return a number that is at least `minimum`, without its fraction."""
+        """Return a number of at least `minimum`, truncated to an integer."""
         return int(self.number(path, *default, minimum=minimum))
 
     def choice(self, path: str, choices: Mapping[str, Any], *default: str) -> Any:
-        """Return what one of a few names stands for."""
+        """Return the value that `choices` assigns to the name in the file."""
         value = self.get(path, *default)
         if not isinstance(value, str) or value not in choices:
             raise self._error(path, f"is unknown: {value!r}, it has to be one of {', '.join(choices)}")
         return choices[value]
 
     def boolean(self, path: str) -> bool:
-        """Return true or false, also for 1 or 0; false where the key is missing."""
+        """Return a boolean, `False` if the key is missing; integers are accepted too."""
         return bool(self._checked(path, self.get(path, False), int, "true or false"))
 
     def text(self, path: str, *default: str) -> str:
-        """Return any text."""
+        """Return a string."""
         return str(self._checked(path, self.get(path, *default), str, "text"))
 
     def list_of(self, path: str, item_type: Any, description: str, *default: Any) -> list[Any]:
-        """Return a list whose entries are all of `item_type`, which errors call `description`."""
+        """Return a list whose items are all of `item_type`, described in errors as `description`."""
         items = self._checked(path, self.get(path, *default), list, f"a list of {description}")
         return [self._checked(path, item, item_type, f"a list of {description}") for item in items]
 
@@ -134,14 +134,14 @@
         return _invalid_setting(f"setting {self._prefix}{path} {text}")
 
 
-def parse_settings(rows: Any) -> ParsedSettings:
-    """Return the settings of an instance; unknown keys are skipped.
+def parse_settings(document: Any) -> ParsedSettings:
+    """Return the settings of an instance; unknown keys are ignored.
 
     Raises:
-        ValueError: A setting is missing or cannot be used; the text names it.
+        ValueError: A setting is missing or invalid; the message names it.
     """
-    # The order of the checks decides which of several faults is named.
-    table = _Table(rows)
+    # The order in which settings are read decides which of several invalid ones is reported.
+    table = _Table(document)
     kinds = _parse_kinds(table)
     zone_costs = _parse_zone_costs(table)
     load_report_fields = tuple(table.list_of("telemetry.fields", str, "names", []))
@@ -182,7 +182,7 @@
 
 
 def _parse_kinds(table: _Table) -> dict[str, KindSettings]:
-    """Return each kind of endpoint; where a row is short, its last entry serves for the rest of the kinds."""
+    """Return the settings of each kind of endpoint; a list shorter than `kinds` is extended by its last item."""
     kinds = table.list_of("kinds", str, "names")
     independent_endpoints = table.list_of("domain.routesApart", int, "true or false", []) or [False]
     batch_limits = table.list_of("domain.bundleMax", int | float, "numbers", [])
@@ -214,7 +214,7 @@
     name = _Table(row, "an entry of setting classes", "classes.").text("name")
     table = _Table(row, prefix=f"classes.{name}.")
     idempotency = table.choice("idempotency", IDEMPOTENCY_BY_NAME)
-    # The window is required where keys deduplicate.  0 is legal: never retried once it may have executed.
+    # Required for classes deduplicated by key.  0 is valid: then no retry follows an ambiguous outcome.
     default_window_ms = [] if idempotency is Idempotency.KEYED else [0.0]
     return name, ClassSettings(
         latency_objective_ms=table.number("onTimeMs", exclusive_minimum=0),
@@ -242,7 +242,7 @@
 
 
 def _parse_poll_interval_ms(table: _Table, must_poll: bool) -> float:
-    """Return the interval of polls, which is required only where the endpoint list is polled."""
+    """Return the polling interval, which is required only if the endpoint list is polled."""
     if must_poll:
         return table.number("safety.askEveryMs", exclusive_minimum=0)
     return table.number("safety.askEveryMs", 0.0)
--- a/kestreltrack/sender/assembly.py
+++ b/kestreltrack/sender/assembly.py
@@ -146,7 +146,7 @@
         recording = RecordingController(
             self.core.dispatcher, self.policy, settings.capture, self.config, self.telemetry
         )
-        if settings.capture.on and settings.capture.folder:
+        if settings.capture.autostart and settings.capture.folder:
             recording.start()
         return recording
 
--- a/kestreltrack/sender/discovery.py
+++ b/kestreltrack/sender/discovery.py
@@ -191,7 +191,7 @@
         assert self._etcd is not None
         assert self._operator_config is not None
         configured_senders = self._config.settings.sender_count
-        if self._operator_config.config.directory.etcd.follow_relays:
+        if self._operator_config.config.directory.etcd.follow_member_count:
             # The count is kept across reloads: restarting from the configured number could make it jump.
             self._member_count = etcd_factory.create_member_count(
                 self._operator_config, configured_senders, self._member_count
--- a/kestreltrack/sender/etcd_factory.py
+++ b/kestreltrack/sender/etcd_factory.py
@@ -24,7 +24,9 @@
 def cluster_settings(operator_config: LoadedOperatorConfig) -> ClusterSettings:
     """Return the addresses of the etcd cluster and the credentials for it."""
     table = operator_config.config.directory.etcd
-    tls = TlsSettings(table.tls.ca, table.tls.cert, table.tls.key, table.tls.name) if table.tls else None
+    tls = (
+        TlsSettings(table.tls.ca, table.tls.cert, table.tls.key, table.tls.server_name) if table.tls else None
+    )
     return ClusterSettings(table.members, tls, table.user, operator_config.password)
 
 
@@ -45,11 +47,11 @@
     """Return the parameters of a watch."""
     return WatchParameters(
         member_count=len(table.members),
-        page_size=table.page,
-        confirm_interval_ms=table.confirm_ms,
-        response_timeout_ms=table.answer_ms,
-        reconnect_spread_ms=table.spread_ms,
-        max_backoff_ms=table.most_wait_ms,
+        page_size=table.page_size,
+        confirm_interval_ms=table.confirm_interval_ms,
+        response_timeout_ms=table.response_timeout_ms,
+        reconnect_spread_ms=table.reconnect_spread_ms,
+        max_backoff_ms=table.max_backoff_ms,
     )
 
 
@@ -62,7 +64,7 @@
         ConfigError: A TLS file cannot be used.
     """
     table = operator_config.config.directory.etcd
-    stale_ms = tuple(1000.0 * age for age in table.stale_s)
+    stale_ms = tuple(1000.0 * age for age in table.stale_ages_s)
     return EtcdEndpointSource(
         create_client(operator_config), table.prefix, watch_parameters(table), clock, telemetry, stale_ms
     )
@@ -81,7 +83,7 @@
         lambda: source.applied_revision,
         table.lease_s,
         telemetry,
-        table.answer_ms / 1000.0,
+        table.response_timeout_ms / 1000.0,
         operator_config.config.fleet.advertise or operator_config.config.fleet.listen,
     )
 
@@ -95,7 +97,7 @@
     """Create the lookup that reads the addresses of other fleet members from their registrations."""
     table = operator_config.config.directory.etcd
     return SeedLookup(
-        lambda: source.client, table.prefix, on_seeds_found, telemetry, table.answer_ms / 1000.0
+        lambda: source.client, table.prefix, on_seeds_found, telemetry, table.response_timeout_ms / 1000.0
     )
 
 
@@ -105,7 +107,7 @@
     """Create the count of senders that share a limit; it starts at the previous count, if any, else as configured."""
     table = operator_config.config.directory.etcd
     value = previous.value if previous else configured_senders
-    return MemberCount(value, 1000.0 * table.relays_linger_s, 1000.0 * table.relays_step_s)
+    return MemberCount(value, 1000.0 * table.count_grace_period_s, 1000.0 * table.count_decrease_interval_s)
 
 
 def create_member_count_reader(
@@ -118,7 +120,7 @@
 ) -> MemberCountReader:
     """Create the reader that counts the registered senders and updates `member_count`."""
     table = operator_config.config.directory.etcd
-    timeout_s = table.answer_ms / 1000.0
+    timeout_s = table.response_timeout_ms / 1000.0
     return MemberCountReader(
         lambda: source.client, table.prefix, member_count, set_sender_count, clock, telemetry, timeout_s
     )
--- a/kestreltrack/sender/fleet.py
+++ b/kestreltrack/sender/fleet.py
@@ -69,14 +69,14 @@
         self._clock = clock
         self._telemetry = telemetry
         local_member = Alive(name, table.advertise or table.listen, 0, table.zone, table.region, VERSION)
-        timing = ProbeTiming(table.round_ms, table.answer_ms)
+        timing = ProbeTiming(table.probe_interval_ms, table.probe_timeout_ms)
         self.membership = Membership(local_member, table.listen, table.seeds, timing, clock, telemetry)
         self.quota_sharing = self._build_quota_sharing(policy, notify)
         self.agreed_config = self._build_agreed_config(state_dir)
 
     def _build_quota_sharing(self, policy: Policy, notify: Callable[[Event], None]) -> QuotaSharing | None:
         """Create the quota sharing if the settings enable it; else its module is not imported."""
-        if not self.table.lend:
+        if not self.table.share_quotas:
             return None
         from kestreltrack.sender.quota_sharing import QuotaSharing
 
@@ -84,15 +84,15 @@
 
     def _build_agreed_config(self, state_dir: Path) -> AgreedConfigEnforcer | None:
         """Create the replicated configuration if the settings name voters; else its module is not imported."""
-        if not self.table.agreed.voters:
+        if not self.table.replicated_config.voters:
             return None
         from kestreltrack.sender.agreed_config import AgreedConfigEnforcer
 
         voters = {}
-        for voter in self.table.agreed.voters:
+        for voter in self.table.replicated_config.voters:
             voter_name, _, voter_id = voter.partition("=")
             voters[voter_name] = voter_id
-        lease_ms = self.table.agreed.lease_ms
+        lease_ms = self.table.replicated_config.lease_ms
         try:
             return AgreedConfigEnforcer(
                 self.membership, voters, lease_ms, state_dir, self._clock, self._telemetry
@@ -108,7 +108,7 @@
     def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
         """Return the background tasks to run."""
         coroutines: list[Coroutine[Any, Any, None]] = [self.membership.run()]
-        if self.table.follow_relays:
+        if self.table.follow_member_count:
             coroutines.append(self._follow_member_count())
         if self.agreed_config:
             coroutines.append(self.agreed_config.run())
@@ -120,7 +120,9 @@
         """Keep the number of senders that share a limit equal to the member count, smoothed by `MemberCount`."""
         table = self.table
         member_count = MemberCount(
-            self._configured_senders, table.relays_linger_s * 1000.0, table.relays_step_s * 1000.0
+            self._configured_senders,
+            table.count_grace_period_s * 1000.0,
+            table.count_decrease_interval_s * 1000.0,
         )
         while True:
             names = self.membership.member_names()
--- a/kestreltrack/sender/recording.py
+++ b/kestreltrack/sender/recording.py
@@ -80,8 +80,8 @@
     def _build_recorder(self) -> Recorder:
         writer = Writer(
             Path(self._table.folder),
-            int(self._table.most_mb * BYTES_PER_MB),
-            self._table.most_age_s,
+            int(self._table.max_total_mb * BYTES_PER_MB),
+            self._table.max_age_s,
             lambda text: self._telemetry.record_fault("capture.write_failed", error=text),
         )
         return Recorder(
@@ -89,8 +89,8 @@
             writer,
             self._telemetry,
             self._name,
-            self._table.whole,
-            int(self._table.file_mb * BYTES_PER_MB),
+            self._table.full_actions,
+            int(self._table.max_file_mb * BYTES_PER_MB),
             self._pseudonyms,
         )
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -15,7 +15,7 @@
     "test_capture_restart::test_a_killed_sender_leaves_a_capture_that_replays": "a sender that is killed",
     "test_capture::test_a_sender_is_captured_and_replayed_by_commands": "the demo and the replay as commands",
     "test_cli": "commands, some of them ended by a signal",
-    "test_config::test_the_process_exits_with_one_plain_line": "a start that fails",
+    "test_config::test_process_with_invalid_settings_exits_with_status_2_and_one_line": "a start that fails",
     "test_connection_close::test_a_shutdown_rejects_a_partial_request_before_the_process_ends": "a stop",
     "test_emulator::test_one_seed_is_one_run_in_any_process": "the emulator under another hash seed",
     "test_etcd_scenarios": "a sender and etcd's stand-in",
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Invalid configuration ends the start with a message that names the key; so do malformed endpoint lists."""
+"""Invalid configurations and malformed endpoint lists are rejected with an error that names the key."""
 
 from __future__ import annotations
 
@@ -26,20 +26,28 @@
 )
 from kestreltrack.discovery.json_format import parse_update
 
-TARGET = {"uid": "u", "endpoint": "127.0.0.1:80", "az": "a", "model": "k", "pod_group": 3, "state": "up"}
-KNOWN = {"rev": 4, "all": True, "targets": [TARGET]}
-TABLE: dict[str, Any] = {
+ENDPOINT_ROW = {
+    "uid": "u",
+    "endpoint": "127.0.0.1:80",
+    "az": "a",
+    "model": "k",
+    "pod_group": 3,
+    "state": "up",
+}
+INITIAL_LIST = {"rev": 4, "all": True, "targets": [ENDPOINT_ROW]}
+CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
     "discovery": "127.0.0.1:8500",
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512, "disk_mb": 3},
-    "known": KNOWN,
+    "known": INITIAL_LIST,
     "settings": SETTINGS,
 }
 
 
-def changed(table: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
+def with_value(table: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
+    """Return a copy of the table with a value set at a dotted path, or removed if it is `None`."""
     copied = copy.deepcopy(table)
     *parts, last = path.split(".")
     inner = copied
@@ -52,14 +60,15 @@
     return copied
 
 
-def environment(folder: Path, table: Any, **more: str) -> dict[str, str]:
+def write_config(folder: Path, table: Any, **variables: str) -> dict[str, str]:
+    """Write the configuration file, and return the variables that a sender is started with."""
     path = folder / "config.json"
     path.write_text(table if isinstance(table, str) else json.dumps(table))
-    return {"GW_CONFIG": str(path), "GW_STATE": str(folder)} | more
+    return {"GW_CONFIG": str(path), "GW_STATE": str(folder)} | variables
 
 
-def test_a_complete_configuration_is_loaded(tmp_path: Path) -> None:
-    config = load_sender_config(environment(tmp_path, TABLE, GW_NAME="n7"))
+def test_complete_configuration_is_loaded(tmp_path: Path) -> None:
+    config = load_sender_config(write_config(tmp_path, CONFIG, GW_NAME="n7"))
     assert (config.name, config.listen, config.seed) == ("n7", "127.0.0.1:6379", 0x8C1F30D27A5BE964)
     assert (config.sockets, config.disk_bytes) == (512, 3_000_000)
     assert config.settings.requests_per_connection == 1, "a connection carries one call at a time"
@@ -69,36 +78,36 @@
 @pytest.mark.parametrize(
     ("sender_count", "keepalive_ms"), [(2, 5000.0), (20, 5000.0), (40, 2500.0), (200, 1500.0)]
 )
-def test_the_more_senders_share_an_endpoint_the_sooner_idle_connections_are_closed(
+def test_keepalive_time_decreases_with_the_number_of_senders(
     sender_count: int, keepalive_ms: float, tmp_path: Path
 ) -> None:
-    # With 200 senders 4 in 5 entries of small connection tables were taken by idle connections.
-    table = changed(
-        changed(TABLE, "settings.balancers", sender_count), "settings.allowed.keepaliveMs", 5000.0
+    # With 200 senders idle connections filled 4 of 5 entries of small connection tables.
+    table = with_value(
+        with_value(CONFIG, "settings.balancers", sender_count), "settings.allowed.keepaliveMs", 5000.0
     )
-    assert load_sender_config(environment(tmp_path, table)).settings.keepalive_ms == keepalive_ms
+    assert load_sender_config(write_config(tmp_path, table)).settings.keepalive_ms == keepalive_ms
 
 
-def test_on_a_reload_the_files_discovery_goes_before_the_variable(tmp_path: Path) -> None:
-    env = environment(tmp_path, TABLE, GW_DISCOVERY="127.0.0.9:1")
+def test_discovery_in_the_file_overrides_the_variable_only_on_reload(tmp_path: Path) -> None:
+    env = write_config(tmp_path, CONFIG, GW_DISCOVERY="127.0.0.9:1")
     assert [load_sender_config(env, reload).discovery for reload in (False, True)] == [
         "127.0.0.9:1",
         "127.0.0.1:8500",
     ]
-    env = environment(tmp_path, changed(TABLE, "discovery", None), GW_DISCOVERY="127.0.0.9:1")
+    env = write_config(tmp_path, with_value(CONFIG, "discovery", None), GW_DISCOVERY="127.0.0.9:1")
     assert load_sender_config(env, reload=True).discovery == "127.0.0.9:1"
 
 
-def test_changed_keys_that_need_a_restart_are_named(tmp_path: Path) -> None:
-    old = load_sender_config(environment(tmp_path, TABLE))
-    table = changed(changed(TABLE, "limits.sockets", 600), "settings.domain.slots", 9)
-    new = load_sender_config(environment(tmp_path, changed(table, "discovery", "127.0.0.1:8501")))
+def test_changed_keys_that_need_a_restart_are_returned(tmp_path: Path) -> None:
+    old = load_sender_config(write_config(tmp_path, CONFIG))
+    table = with_value(with_value(CONFIG, "limits.sockets", 600), "settings.domain.slots", 9)
+    new = load_sender_config(write_config(tmp_path, with_value(table, "discovery", "127.0.0.1:8501")))
     assert keys_needing_restart(old, new) == ["limits.sockets", "settings.concurrency_limit"]
 
 
 def test_missing_optional_keys_have_defaults(tmp_path: Path) -> None:
-    table = {k: v for k, v in TABLE.items() if k not in ("limits", "known", "seed", "name")}
-    config = load_sender_config(environment(tmp_path, table))
+    table = {k: v for k, v in CONFIG.items() if k not in ("limits", "known", "seed", "name")}
+    config = load_sender_config(write_config(tmp_path, table))
     assert (config.sockets, config.disk_bytes, config.initial_endpoints, config.seed) == (
         1024,
         3_000_000,
@@ -108,7 +117,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "message"),
     [
         ("listen", None, "GW_LISTEN"),
         ("listen", "nowhere", "GW_LISTEN"),
@@ -160,36 +169,38 @@
         ("settings.telemetry.fields", "x0", "setting telemetry.fields is not a list"),
     ],
 )
-def test_a_fault_names_its_key(tmp_path: Path, path: str, value: Any, named: str) -> None:
-    with pytest.raises(ConfigError, match=named):
-        load_sender_config(environment(tmp_path, changed(TABLE, path, value)))
+def test_invalid_value_is_rejected_with_its_key(tmp_path: Path, path: str, value: Any, message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
+        load_sender_config(write_config(tmp_path, with_value(CONFIG, path, value)))
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", "\x00"])
-def test_a_file_that_is_not_an_object_is_rejected(tmp_path: Path, text: str) -> None:
+def test_file_that_is_not_an_object_is_rejected(tmp_path: Path, text: str) -> None:
     with pytest.raises(ConfigError, match="GW_CONFIG"):
-        load_sender_config(environment(tmp_path, text))
+        load_sender_config(write_config(tmp_path, text))
 
 
-def test_folder_and_file_must_exist(tmp_path: Path) -> None:
+def test_missing_state_folder_or_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="GW_STATE"):
-        load_sender_config(environment(tmp_path, TABLE, GW_STATE=str(tmp_path / "none")))
+        load_sender_config(write_config(tmp_path, CONFIG, GW_STATE=str(tmp_path / "none")))
     with pytest.raises(ConfigError, match="GW_CONFIG"):
         load_sender_config({"GW_STATE": str(tmp_path)})
 
 
-def test_the_process_exits_with_one_plain_line(tmp_path: Path) -> None:
-    env = environment(tmp_path, changed(TABLE, "settings.domain.slots", 0)) | {"PATH": os.environ["PATH"]}
-    done = subprocess.run(
+def test_process_with_invalid_settings_exits_with_status_2_and_one_line(tmp_path: Path) -> None:
+    env = write_config(tmp_path, with_value(CONFIG, "settings.domain.slots", 0)) | {
+        "PATH": os.environ["PATH"]
+    }
+    process = subprocess.run(
         [sys.executable, "-O", "-m", "kestreltrack"], env=env, cwd=ROOT, capture_output=True, text=True
     )
-    assert done.returncode == 2
+    assert process.returncode == 2
     expected = "setting domain.slots is out of range: 0, it has to be at least 1"
-    assert done.stderr == f"kestreltrack: settings: {expected}\n"
+    assert process.stderr == f"kestreltrack: settings: {expected}\n"
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "named"),
+    ("key", "value", "message"),
     [
         ("keyTtlMs", -1, "at least 0"),
         ("keyTtlMs", None, "is missing"),
@@ -200,15 +211,17 @@
         ("group", [], "is unknown"),
     ],
 )
-def test_a_fault_of_a_class_names_the_class(tmp_path: Path, key: str, value: Any, named: str) -> None:
+def test_invalid_value_of_a_class_is_rejected_with_class_and_key(
+    tmp_path: Path, key: str, value: Any, message: str
+) -> None:
     classes = [row | {key: value} if row["name"] == "keyed" else row for row in SETTINGS["classes"]]
-    with pytest.raises(ConfigError, match=f"setting classes.keyed.{key} .*{named}"):
-        load_sender_config(environment(tmp_path, changed(TABLE, "settings.classes", classes)))
+    with pytest.raises(ConfigError, match=f"setting classes.keyed.{key} .*{message}"):
+        load_sender_config(write_config(tmp_path, with_value(CONFIG, "settings.classes", classes)))
 
 
-def test_a_deduplication_window_of_zero_is_legal_and_allows_no_retry(tmp_path: Path) -> None:
+def test_deduplication_window_of_zero_is_valid_and_prevents_retries(tmp_path: Path) -> None:
     classes = [row | {"keyTtlMs": 0} if row["name"] == "keyed" else row for row in SETTINGS["classes"]]
-    loaded = load_sender_config(environment(tmp_path, changed(TABLE, "settings.classes", classes)))
+    loaded = load_sender_config(write_config(tmp_path, with_value(CONFIG, "settings.classes", classes)))
     policy = Policy(loaded.settings, 1)
     policy.step(
         0.0,
@@ -219,24 +232,24 @@
     )
     ended = AttemptEnded("m", 0, "e", Outcome.CONNECTION_BROKEN, 10.0, final=False)
     assert RejectMessage in map(type, policy.step(10.0, [ended, TimerExpired(0)])), (
-        "the outcome is ambiguous, and no retry is allowed"
+        "the outcome is ambiguous and must not be retried"
     )
 
 
 @pytest.mark.parametrize("text", [b"NaN", b"1e999", b"-1e999", b"Infinity"])
-def test_a_number_that_json_does_not_allow_rejects_the_file(tmp_path: Path, text: bytes) -> None:
-    env = environment(tmp_path, TABLE)
+def test_number_that_json_does_not_allow_is_rejected(tmp_path: Path, text: bytes) -> None:
+    env = write_config(tmp_path, CONFIG)
     path = Path(env["GW_CONFIG"])
     path.write_bytes(path.read_bytes().replace(b'"slots": 8', b'"slots": ' + text))
     with pytest.raises(ConfigError, match="GW_CONFIG"):
         load_sender_config(env)
 
 
-def test_a_file_truncated_at_any_byte_is_rejected(tmp_path: Path) -> None:
-    text = json.dumps(TABLE)
+def test_truncated_file_is_rejected(tmp_path: Path) -> None:
+    text = json.dumps(CONFIG)
     for cut in range(0, len(text), 7):
         with pytest.raises(ConfigError, match="GW_CONFIG"):
-            load_sender_config(environment(tmp_path, text[:cut]))
+            load_sender_config(write_config(tmp_path, text[:cut]))
 
 
 @pytest.mark.parametrize(
@@ -247,28 +260,28 @@
         ("all", 1),
         ("targets", {}),
         ("targets", [7]),
-        ("targets", [TARGET | {"state": "odd"}]),
-        ("targets", [TARGET | {"endpoint": "no port"}]),
-        ("targets", [TARGET | {"pod_group": 1.5}]),
-        ("targets", [TARGET | {"capacity_hint": "much"}]),
-        ("targets", [{k: v for k, v in TARGET.items() if k != "uid"}]),
+        ("targets", [ENDPOINT_ROW | {"state": "odd"}]),
+        ("targets", [ENDPOINT_ROW | {"endpoint": "no port"}]),
+        ("targets", [ENDPOINT_ROW | {"pod_group": 1.5}]),
+        ("targets", [ENDPOINT_ROW | {"capacity_hint": "much"}]),
+        ("targets", [{k: v for k, v in ENDPOINT_ROW.items() if k != "uid"}]),
     ],
 )
-def test_a_malformed_endpoint_list_is_rejected(path: str, value: Any) -> None:
-    assert parse_update(KNOWN).endpoints[0].address == "127.0.0.1:80"
+def test_malformed_endpoint_list_is_rejected(path: str, value: Any) -> None:
+    assert parse_update(INITIAL_LIST).endpoints[0].address == "127.0.0.1:80"
     with pytest.raises(ValueError):
-        parse_update(changed(KNOWN, path, value))
+        parse_update(with_value(INITIAL_LIST, path, value))
 
 
-def test_the_admin_address_comes_from_the_variable_before_the_file_and_is_empty_without_either(
+def test_admin_address_comes_from_the_variable_or_the_file_and_is_empty_by_default(
     tmp_path: Path,
 ) -> None:
-    assert load_sender_config(environment(tmp_path, TABLE)).admin_address == ""
-    table = changed(TABLE, "admin_addr", "127.0.0.1:7001")
-    assert load_sender_config(environment(tmp_path, table)).admin_address == "127.0.0.1:7001"
+    assert load_sender_config(write_config(tmp_path, CONFIG)).admin_address == ""
+    table = with_value(CONFIG, "admin_addr", "127.0.0.1:7001")
+    assert load_sender_config(write_config(tmp_path, table)).admin_address == "127.0.0.1:7001"
     assert (
-        load_sender_config(environment(tmp_path, table, GW_ADMIN_ADDR="127.0.0.1:7002")).admin_address
+        load_sender_config(write_config(tmp_path, table, GW_ADMIN_ADDR="127.0.0.1:7002")).admin_address
         == "127.0.0.1:7002"
     )
     with pytest.raises(ConfigError, match="GW_ADMIN_ADDR"):
-        load_sender_config(environment(tmp_path, TABLE, GW_ADMIN_ADDR="no port"))
+        load_sender_config(write_config(tmp_path, CONFIG, GW_ADMIN_ADDR="no port"))
--- a/tests/test_replicated_config_service.py
+++ b/tests/test_replicated_config_service.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from test_operator import file
+from test_operator_config import write_operator_file
 
 from kestreltrack.config.operator import load_operator_config
 from kestreltrack.config.sender import ConfigError
@@ -244,4 +244,4 @@
 )
 def test_an_invalid_key_of_the_operators_file_is_named(tmp_path: Path, text: str, words: str) -> None:
     with pytest.raises(ConfigError, match=words):
-        load_operator_config(file(tmp_path, text))
+        load_operator_config(write_operator_file(tmp_path, text))
