--- a/kestreltrack/discovery/__init__.py
+++ b/kestreltrack/discovery/__init__.py
@@ -1,6 +1,6 @@
-"""Service discovery: the endpoint list, its sources, and how changes reach the decision module.
+"""Service discovery: the endpoint list, its sources, and the delivery of changes to the decision module.
 
-`http_source` polls the platform's HTTP service, `etcd` watches a directory in etcd; both implement
+`http_source` polls the platform's HTTP service, `etcd` watches a key prefix in etcd; both implement
 `kestreltrack.ports.EndpointSource`.
 """
 
--- a/kestreltrack/discovery/endpoint_list.py
+++ b/kestreltrack/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list: which endpoints exist, where they are reached, and what an update changes.
+"""The endpoint list: the known endpoints, their addresses, and the changes that an update makes.
 
-The list holds the state that a source published last.  `incremental_update` decides in which order its changes
-reach the decision module; `http_source` and `etcd` are the sources.  No I/O.
+The list holds the latest state published by a source (`http_source` or `etcd`).  `incremental_update` determines the
+order in which changes reach the decision module.  No I/O.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def to_endpoint_entries(endpoints: Iterable[ListedEndpoint]) -> list[EndpointEntry]:
-    """Convert listed endpoints to the entries of the decision module, which has no use for addresses."""
+    """Convert listed endpoints to the entries of the decision module, which does not need addresses."""
     return [
         EndpointEntry(
             endpoint.uid, endpoint.dest, endpoint.kind, endpoint.zone, endpoint.state, endpoint.rate
@@ -24,19 +24,19 @@
 
 
 class EndpointList:
-    """The endpoint list as last published by its source, with the address of each endpoint.
+    """The endpoint list as last published by its source, including addresses.
 
     Attributes:
-        revision: The source's version of the list; -1 before the first update.
+        revision: The revision of the list at the source; -1 before the first update.
     """
 
     def __init__(self) -> None:
         """Create an empty list that is older than any revision."""
         self.revision = -1
         self._endpoints: dict[str, ListedEndpoint] = {}
-        # Each destination that was ever listed, with the endpoint that was listed last for it.
+        # The endpoint listed last for each destination that was ever listed.
         self._endpoint_by_dest: dict[int, ListedEndpoint] = {}
-        # False while the list is only a cached one that a previous process wrote to its journal.
+        # False while the list only comes from the journal of a previous process.
         self._received_from_source = False
 
     def __len__(self) -> int:
@@ -44,31 +44,31 @@
         return len(self._endpoints)
 
     def get(self, uid: str) -> ListedEndpoint | None:
-        """Return the endpoint with this uid, or `None` where it is not listed."""
+        """Return the endpoint with this uid, or `None` if it is not listed."""
         return self._endpoints.get(uid)
 
     def changes(self, update: EndpointListUpdate) -> list[ListedEndpoint]:
-        """Return what an update changes, in the order in which the changes have to be applied.
+        """Return the changes that an update makes, in the order in which they must be applied.
 
-        An endpoint whose destination or address differs under the same uid is removed and added again.
-        An endpoint that a complete update leaves out is removed.  The drains and removals of a complete update
-        come before its additions, because they stop traffic that would fail.
+        An endpoint whose destination or address changed is removed and added again under its uid.  An endpoint that
+        is missing from a complete update is removed.  The drains and removals of a complete update precede its
+        additions, because they stop requests that would fail.
         """
         if not update.complete:
-            return [change for endpoint in update.endpoints for change in self._as_changes(endpoint)]
+            return [change for endpoint in update.endpoints for change in self._changes_of_endpoint(endpoint)]
         return self._changes_of_complete_list(update.endpoints)
 
     def _changes_of_complete_list(self, endpoints: tuple[ListedEndpoint, ...]) -> list[ListedEndpoint]:
-        known = self._endpoints
+        listed = self._endpoints
         withdrawals = self._removals_of_unlisted(endpoints)
         additions = list[ListedEndpoint]()
         for endpoint in endpoints:
-            previous = known.get(endpoint.uid)
+            previous = listed.get(endpoint.uid)
             if previous is None:
                 additions.append(endpoint)
-            # Most endpoints of a list are the same objects as before: identity is checked before equality.
+            # Most endpoints are the same objects as in the previous list: the identity check avoids most comparisons.
             elif previous is not endpoint and previous != endpoint:
-                for change in self._as_changes(endpoint):
+                for change in self._changes_of_endpoint(endpoint):
                     if change.state is EndpointLifecycle.UP:
                         additions.append(change)
                     else:
@@ -85,7 +85,7 @@
             if uid not in listed_uids
         ]
 
-    def _as_changes(self, endpoint: ListedEndpoint) -> tuple[ListedEndpoint, ...]:
+    def _changes_of_endpoint(self, endpoint: ListedEndpoint) -> tuple[ListedEndpoint, ...]:
         previous = self._endpoints.get(endpoint.uid)
         if previous is None or endpoint.state is EndpointLifecycle.REMOVED:
             return (endpoint,)
@@ -97,8 +97,8 @@
         """Apply an update and return it as an event for the decision module.
 
         Args:
-            update: The complete list, or the endpoints that changed.
-            cached: Whether the update comes from the journal of a previous process and not from the source.
+            update: The complete list or the changed endpoints.
+            cached: Whether the update comes from the journal of a previous process instead of the source.
         """
         self.revision = update.revision
         self._received_from_source = self._received_from_source or not cached
@@ -115,10 +115,10 @@
         )
 
     def snapshot(self) -> EndpointListUpdate:
-        """Return the complete list in the form in which it is persisted.
+        """Return the complete list as it is persisted.
 
-        A destination without a listed endpoint is represented by its last endpoint, as removed, so that a
-        restarted process still knows that the destination exists.
+        A destination without listed endpoints is represented by its last endpoint, marked as removed, so that a
+        restarted process still knows the destination.
         """
         listed_dests = {endpoint.dest for endpoint in self._endpoints.values()}
         last_of_unlisted_dests = (
@@ -129,7 +129,7 @@
         return EndpointListUpdate(self.revision, True, (*self._endpoints.values(), *last_of_unlisted_dests))
 
     def is_unknown_destination(self, dest: int) -> bool:
-        """Return whether the source has published a list and has never listed an endpoint of `dest`."""
+        """Return whether the source has published a list but has never listed an endpoint of `dest`."""
         return self._received_from_source and dest not in self._endpoint_by_dest
 
     def uids(self) -> set[str]:
@@ -137,16 +137,16 @@
         return set(self._endpoints)
 
     def address(self, uid: str) -> str | None:
-        """Return the `host:port` of a listed endpoint, or `None` where it is not listed."""
+        """Return the `host:port` of an endpoint, or `None` if it is not listed."""
         endpoint = self._endpoints.get(uid)
         return endpoint.address if endpoint else None
 
     def kind(self, uid: str) -> str:
-        """Return the kind of a listed endpoint, or an empty string where it is not listed."""
+        """Return the kind of an endpoint, or an empty string if it is not listed."""
         endpoint = self._endpoints.get(uid)
         return endpoint.kind if endpoint else ""
 
     def zone(self, uid: str) -> str:
-        """Return the zone of a listed endpoint, or an empty string where it is not listed."""
+        """Return the zone of an endpoint, or an empty string if it is not listed."""
         endpoint = self._endpoints.get(uid)
         return endpoint.zone if endpoint else ""
--- a/kestreltrack/discovery/gc_pause.py
+++ b/kestreltrack/discovery/gc_pause.py
@@ -1,21 +1,21 @@
 """Suspends garbage collection while a large endpoint list is decoded and applied.
 
-The collector traverses all live objects whenever enough new ones were made: with 50,000 endpoints that stops the
-event loop for more than 100 ms, several times.  The objects of a list are long-lived, so they are moved to the
-collector's permanent generation instead (`gc.freeze`).  Endpoints that are removed later are freed by reference
-counting, since no reference cycle contains them.
+The collector traverses all live objects whenever enough new ones have been allocated: with 50,000 endpoints this
+repeatedly blocks the event loop for more than 100 ms.  Because the objects of a list are long-lived, they are moved
+to the collector's permanent generation instead (`gc.freeze`).  Endpoints that are removed later are freed by
+reference counting, since they are not part of reference cycles.
 """
 
 from __future__ import annotations
 
 import gc
 
-# From this number of entries a pause saves more time than the collection it delays costs.
+# Entries from which a pause saves more time than the delayed collection costs.
 LARGE_LIST_SIZE = 1000
 
 
 class GcPause:
-    """Suspends the collector of the process; pauses nest, and the collector runs again after the last one ended."""
+    """Suspends the garbage collector of the process; pauses nest, and the end of the last one resumes it."""
 
     depth = 0
 
@@ -27,7 +27,7 @@
 
     @classmethod
     def end(cls) -> None:
-        """End one pause; the last one moves all live objects out of the collector's sight and resumes it."""
+        """End one pause; the last one moves live objects to the permanent generation and resumes the collector."""
         cls.depth -= 1
         if cls.depth == 0:
             gc.freeze()
--- a/kestreltrack/discovery/http_source.py
+++ b/kestreltrack/discovery/http_source.py
@@ -1,7 +1,7 @@
-"""The endpoint list of the platform over HTTP: the complete list once, then long polls back to back.
+"""Fetches the platform's endpoint list over HTTP: the complete list once, then the changes by consecutive long polls.
 
-`GET /api/targets` answers the complete list; `?from=REVISION&hold_ms=WAIT` answers what changed since that revision,
-as soon as something has, and an empty update after the wait.
+`GET /api/targets` returns the complete list.  With `?from=REVISION&hold_ms=WAIT` it returns the changes since that
+revision as soon as there are any, or an empty update after the wait.
 """
 
 from __future__ import annotations
@@ -21,47 +21,49 @@
 HTTP_OK = 200
 NO_REVISION = -1
 
-# How long a long poll waits.  A lost one is noticed soon after its wait, so a few senders wait for the minimum; but
-# each long poll is a call to a service that all senders share, and that answers nobody in time once it is overloaded.
+# Wait of a long poll.  A lost long poll is detected shortly after its wait, so a few senders use the minimum.  The
+# wait grows with the number of senders, because all of them share one service, which answers no call in time when
+# overloaded.
 MIN_LONG_POLL_MS = 3000
 LONG_POLL_MS_PER_SENDER = 1000
 MAX_LONG_POLL_MS = 20_000
-# A change ends the long polls of all senders in one moment: with equal waits they would all end, or time out, in one
-# moment again.
+# Maximum share by which a wait is randomly shortened.  A change ends the long polls of all senders simultaneously;
+# with equal waits the next ones would also end, or time out, simultaneously.
 LONG_POLL_JITTER = 0.25
-# Time limit of a call that need not wait: more than the 2 s that the service lets a call wait for its turn.  With a
-# shorter limit an overloaded service would serve calls that were given up already, and answer nobody in time.
+# Timeout of a call without a wait: longer than the 2 s for which the service queues a call.  With a shorter timeout
+# an overloaded service would process calls that have already been abandoned, and answer no sender in time.
 RESPONSE_TIMEOUT_S = 2.2
-# Time limit of a long poll beyond its wait.  A change that a lost long poll missed has to be received within 2 s
-# after its wait: half of that is left for the next call, which all senders may make within the same seconds.
+# Timeout of a long poll beyond its wait.  A change missed by a lost long poll must be received within 2 s after the
+# wait: half of that is reserved for the next call, which all senders may make within the same seconds.
 LONG_POLL_GRACE_S = 1.0
-# Without a limit of its own a connection attempt could take the whole time of a long poll, unnoticed.
+# Without its own timeout a connection attempt could take as long as a long poll without being detected.
 CONNECT_TIMEOUT_S = 1.0
-# The first call after a failure asks for the missed changes and returns at once, since a long poll that waits cannot
-# be distinguished from a service that does not answer.  The next long poll follows its answer.  It is not 0, because
-# the service's wait for a call that names none is not specified.
+# Wait of the first call after a failure.  It returns the missed changes immediately, since a waiting long poll cannot
+# be distinguished from a service that does not respond; its response is followed by a regular long poll.  It is not
+# 0, because the default wait of the service is not specified.
 CATCH_UP_LONG_POLL_MS = 1
-# Where lists are pushed, an agent beside the sender answers at once and at no cost.  What the agent has counts as
-# received, also what it got at the end of an outage while a call of this sender hangs: a call that is not answered
-# has to be given up, and repeated, well within the deadline of a drain.  Both are shares of that deadline.
+# If lists are pushed, a local agent answers immediately and at no cost.  A list that the agent has counts as received
+# by the sender, even if the agent got it at the end of an outage while a call of the sender was hanging.  An
+# unanswered call must therefore time out and be repeated well within the deadline of a drain, of which both constants
+# are shares.
 PUSHED_LONG_POLL_SHARE = 0.5
 PUSHED_RESPONSE_TIMEOUT_SHARE = 0.3
 
 
 def long_poll_ms(sender_count: int) -> int:
-    """Return the longest wait of a long poll: all senders together begin about one a second."""
+    """Return the maximum wait of a long poll: between the limits, all senders together start about one per second."""
     return min(MAX_LONG_POLL_MS, max(MIN_LONG_POLL_MS, LONG_POLL_MS_PER_SENDER * sender_count))
 
 
 @dataclass(frozen=True, slots=True)
 class PollTiming:
-    """Waits and time limits of the calls to one kind of address.
+    """Waits and timeouts of the calls to one kind of address.
 
     Attributes:
-        long_poll_ms: The longest wait of a long poll.
-        response_timeout_s: The time limit of a call that need not wait.
-        long_poll_grace_s: The time limit of a long poll beyond its wait.
-        is_pushed: Whether the address is that of a local agent that lists are pushed to.
+        long_poll_ms: The maximum wait of a long poll.
+        response_timeout_s: The timeout of a call without a wait.
+        long_poll_grace_s: The timeout of a long poll beyond its wait.
+        is_pushed: Whether the address belongs to a local agent to which lists are pushed.
     """
 
     long_poll_ms: int
@@ -71,17 +73,17 @@
 
     @classmethod
     def for_shared_service(cls, sender_count: int) -> PollTiming:
-        """Return the timing for one service that answers all of `sender_count` senders."""
+        """Return the timing for a service shared by `sender_count` senders."""
         return cls(long_poll_ms(sender_count), RESPONSE_TIMEOUT_S, LONG_POLL_GRACE_S, is_pushed=False)
 
     @classmethod
     def for_local_agent(cls, push_deadline_ms: float) -> PollTiming:
-        """Return the timing for an agent whose list has to take effect within `push_deadline_ms`."""
+        """Return the timing for an agent whose list must take effect within `push_deadline_ms`."""
         timeout_s = PUSHED_RESPONSE_TIMEOUT_SHARE * push_deadline_ms / 1000.0
         return cls(int(PUSHED_LONG_POLL_SHARE * push_deadline_ms), timeout_s, timeout_s, is_pushed=True)
 
     def jittered_long_poll_ms(self) -> int:
-        """Return the wait of one long poll, drawn at random within `LONG_POLL_JITTER` below the longest."""
+        """Return the wait of one long poll: the maximum, randomly shortened by up to `LONG_POLL_JITTER`."""
         shortest_ms = max(MIN_LONG_POLL_MS, int((1.0 - LONG_POLL_JITTER) * self.long_poll_ms))
         if shortest_ms >= self.long_poll_ms:
             return self.long_poll_ms
@@ -89,27 +91,27 @@
 
 
 class MalformedListError(DiscoveryError):
-    """The service could be reached, but its answer is no list, or a list that is cut short."""
+    """The service responded, but the response is truncated or not a valid list."""
 
 
 class HttpEndpointSource:
-    """Follows the endpoint list at the platform's address; an `EndpointSource`."""
+    """Follows the endpoint list at the platform's address; implements `EndpointSource`."""
 
     def __init__(
         self, address: str, telemetry: Telemetry, sender_count: int = 1, push_deadline_ms: float = 0.0
     ) -> None:
-        """Create the source; it opens nothing before `follow`.
+        """Create the source, which opens no connection before `follow`.
 
         Args:
-            address: `host:port` of the service or agent.
+            address: The address (`host:port`) of the service or agent.
             telemetry: Receives the fault `discovery.malformed`.
-            sender_count: How many senders share the service.
-            push_deadline_ms: Where the address is that of an agent that lists are pushed to, the milliseconds within
-                which its list has to take effect; 0 where one service answers all senders.
+            sender_count: The number of senders that share the service.
+            push_deadline_ms: For a local agent, the time within which its list must take effect; 0 for a service that
+                all senders share.
         """
         self._client = HttpClient(address, connect_timeout_s=CONNECT_TIMEOUT_S)
         self._telemetry = telemetry
-        # The revision received last at this address.
+        # The last revision received from this address.
         self._revision = NO_REVISION
         self._address_changes = 0
         if push_deadline_ms > 0.0:
@@ -118,7 +120,7 @@
             self._timing = PollTiming.for_shared_service(sender_count)
 
     def change_address(self, address: str) -> None:
-        """Drop the old address with its pending call, and ask the new one for the complete list."""
+        """Abort the pending call, and fetch the complete list from the new address."""
         old_client = self._client
         self._client = HttpClient(address, connect_timeout_s=CONNECT_TIMEOUT_S)
         self._revision = NO_REVISION
@@ -126,11 +128,11 @@
         old_client.close()
 
     async def follow(self) -> AsyncIterator[EndpointListUpdate]:
-        """Yield the complete list, then the changes of each long poll.
+        """Yield the complete list, then the changes returned by each long poll.
 
-        Followed again after a failure, a shared service is asked for the changes since the revision received last,
-        which costs it little.  An agent is asked for the complete list, because a long poll looks the same as an
-        agent that does not answer.
+        When it is called again after a failure, it requests from a shared service only the changes since the last
+        revision received, which costs the service little.  From an agent it requests the complete list, because a
+        long poll cannot be distinguished from an agent that does not respond.
 
         Raises:
             DiscoveryError: A call failed.
@@ -151,11 +153,11 @@
             yield update
             catching_up = address_changes != self._address_changes
             if not catching_up:
-                # Stored after the yield: a consumer that failed to apply the update receives it again.
+                # Stored after the yield, so that a consumer that failed to apply the update receives it again.
                 self._revision = _revision_after(update, from_revision)
 
     async def _poll(self, from_revision: int, catching_up: bool) -> EndpointListUpdate:
-        """Return the answer to the next call: the complete list, or the changes since `from_revision`."""
+        """Make the next call; return the complete list, or the changes since `from_revision`."""
         target, timeout_s = self._next_call(from_revision, catching_up)
         address_changes = self._address_changes
         try:
@@ -163,11 +165,11 @@
         except MalformedListError:
             if not catching_up or self._timing.is_pushed or address_changes != self._address_changes:
                 raise
-        # The service can be reached: repeated at once, because the next call may come too late.
+        # The service is reachable: the call is repeated immediately, because a retry after a backoff may be too late.
         return await self._request(target, timeout_s)
 
     def _next_call(self, from_revision: int, catching_up: bool) -> tuple[str, float]:
-        """Return the target of the next call and its time limit in seconds."""
+        """Return the request target of the next call and its timeout in seconds."""
         timing = self._timing
         if from_revision < 0:
             return TARGETS_PATH, timing.response_timeout_s
@@ -188,18 +190,18 @@
         except (OSError, ConnectionBrokenError) as error:
             raise DiscoveryError(str(error) or type(error).__name__) from error
         except ValueError as error:
-            # The body is no JSON, or no list: a later answer of the platform may be in order again.
+            # Not valid JSON, or not a list; a later response may be valid again.
             self._telemetry.record_fault("discovery.malformed", error=str(error))
             raise MalformedListError(str(error)) from error
         if update is None:
-            raise DiscoveryError(f"status {status}")
+            raise DiscoveryError(f"unexpected status {status}")
         return update
 
 
 def _revision_after(update: EndpointListUpdate, from_revision: int) -> int:
-    """Return the revision to go on from; `NO_REVISION` where the revisions are not comparable.
+    """Return the revision from which to continue, or `NO_REVISION` if the revisions are not comparable.
 
-    Changes that are older than the known revision come from another service, or from one that was set up anew.
+    Changes with an older revision than requested come from another service, or from one that was reinstalled.
     """
     if update.complete or update.revision >= from_revision:
         return update.revision
--- a/kestreltrack/discovery/incremental_update.py
+++ b/kestreltrack/discovery/incremental_update.py
@@ -1,9 +1,9 @@
 """Splits updates of the endpoint list into chunks, so that applying a large list does not delay messages.
 
-The decision module handles nothing else while it applies a list, and a new entry costs it about 20 microseconds.
-A list of thousands is therefore applied as what it changes, in chunks between which messages are handled.  Drains and
-removals of endpoints that the module knows overtake everything that still waits: they have to take effect within
-500 ms.  No I/O.
+The decision module cannot process anything else while it applies a list, and each new entry takes about 20
+microseconds.  Of a list of thousands therefore only the changes are applied, in chunks between which messages are
+processed.  Drains and removals of endpoints that the module already knows overtake the additions and other changes,
+because they have to take effect within 500 ms.  No I/O.
 """
 
 from __future__ import annotations
@@ -17,41 +17,41 @@
 from kestreltrack.discovery import EndpointList, to_endpoint_entries
 from kestreltrack.ports import EndpointListUpdate, ListedEndpoint
 
-# New and changed entries of one chunk: they take the decision module about 4 ms.
+# New and changed entries in one chunk: the decision module applies them in about 4 ms.
 CHUNK_SIZE = 200
-# Drains and removals of one chunk: one costs a tenth of a new entry.
+# Drains and removals in one chunk: each costs a tenth of a new entry.
 URGENT_CHUNK_SIZE = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateChunk:
-    """One chunk, as the event for the decision module and as the update for the journal."""
+    """One chunk of changes: the event for the decision module, and the same changes as an update for the journal."""
 
     event: EndpointsUpdated
     update: EndpointListUpdate
 
 
 class IncrementalUpdateQueue:
-    """The changes that the decision module has not received yet, in order of urgency.
+    """The changes that the decision module has not received yet, the most urgent first.
 
     Attributes:
-        endpoint_list: The list as the source published it last, ahead of what the module has received.
+        endpoint_list: The list as last published by the source, including changes that are still queued.
     """
 
     def __init__(self, endpoint_list: EndpointList) -> None:
-        """Create an empty queue that keeps `endpoint_list` at the source's last state."""
+        """Create an empty queue that applies each update to `endpoint_list` as soon as it is queued."""
         self.endpoint_list = endpoint_list
         self._unsplit = deque[EndpointListUpdate]()
         self._urgent = deque[ListedEndpoint]()
-        # By uid, because only the latest state of an endpoint is passed on.
+        # By uid, because only the latest state of an endpoint is sent.
         self._deferred: dict[str, ListedEndpoint] = {}
 
     def __len__(self) -> int:
-        """Return the number of queued changes; an update that is passed on unsplit counts as one."""
+        """Return the number of queued changes; an unsplit update counts as one."""
         return len(self._unsplit) + len(self._urgent) + len(self._deferred)
 
     def enqueue(self, update: EndpointListUpdate) -> set[str]:
-        """Queue an update; return the uids that are removed or have another address now."""
+        """Queue an update; return the uids that it removes, or to which it gives another address or destination."""
         changes = self.endpoint_list.changes(update)
         removed_uids = {change.uid for change in changes if change.state is EndpointLifecycle.REMOVED}
         if self._fits_one_chunk(update, len(changes)):
@@ -62,18 +62,18 @@
         return removed_uids
 
     def _fits_one_chunk(self, update: EndpointListUpdate, change_count: int) -> bool:
-        """Return whether the update may be passed on as it is, without overtaking what is queued."""
+        """Return whether the update can be sent unsplit without overtaking queued changes."""
         if self._deferred or self._urgent:
             return False
         if update.complete:
-            # A complete list makes the module look at the endpoints that it leaves out as well.
+            # For a complete list the module also processes the endpoints that are missing from it.
             return max(len(update.endpoints), len(self.endpoint_list)) <= CHUNK_SIZE
         return change_count <= CHUNK_SIZE
 
     def _unsplit_update(
         self, update: EndpointListUpdate, changes: list[ListedEndpoint]
     ) -> EndpointListUpdate:
-        """Return the update; a delta in which an endpoint got another address also removes the old one."""
+        """Return the update; for a delta that changes an address or destination, also remove the old entry."""
         if update.complete or len(changes) <= len(update.endpoints):
             return update
         return EndpointListUpdate(update.revision, False, tuple(changes))
@@ -81,16 +81,16 @@
     def _split_by_urgency(self, changes: Iterable[ListedEndpoint]) -> None:
         for endpoint in changes:
             superseded = self._deferred.pop(endpoint.uid, None)
-            known_to_module = superseded is None and self.endpoint_list.get(endpoint.uid) is not None
+            is_known_to_module = superseded is None and self.endpoint_list.get(endpoint.uid) is not None
             if endpoint.state is EndpointLifecycle.REMOVED or (
-                known_to_module and endpoint.state is EndpointLifecycle.DRAINING
+                is_known_to_module and endpoint.state is EndpointLifecycle.DRAINING
             ):
                 self._urgent.append(endpoint)
             else:
                 self._deferred[endpoint.uid] = endpoint
 
     def next_chunk(self) -> UpdateChunk | None:
-        """Remove and return the most urgent chunk, or `None` once the module has received everything."""
+        """Remove and return the most urgent chunk, or `None` if the queue is empty."""
         if self._unsplit:
             update = self._unsplit.popleft()
         elif self._urgent:
--- a/kestreltrack/discovery/json_format.py
+++ b/kestreltrack/discovery/json_format.py
@@ -1,4 +1,4 @@
-"""The JSON form of the endpoint list that the platform publishes, with the platform's names of the fields.
+"""Parses the JSON form in which the platform publishes the endpoint list.
 
 | field | attribute of `ListedEndpoint` |
 | --- | --- |
@@ -26,26 +26,26 @@
 
 
 class EndpointFormatError(DiscoveryError, ValueError):
-    """An entry or a list is not in the platform's form; the text names the field at fault."""
+    """An endpoint or a list does not have the platform's format; the message names the invalid field."""
 
 
 def _typed_field(row: Any, key: str, kind: type[T], default: T | None = None) -> T:
-    """Return a field of the expected type; an integer is accepted as a float, and a boolean never as a number."""
+    """Return a field of the expected type; integers are accepted as floats, booleans are not accepted as numbers."""
     value = row.get(key, default) if isinstance(row, dict) else None
     if kind is float and isinstance(value, int) and not isinstance(value, bool):
         value = float(value)
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise EndpointFormatError(f"endpoint list: {key} is missing or wrong: {value!r}")
+        raise EndpointFormatError(f"endpoint list: {key} is missing or has the wrong type: {value!r}")
     if isinstance(value, float) and not math.isfinite(value):
         raise EndpointFormatError(f"endpoint list: {key} is not finite")
     return value
 
 
 def parse_endpoint(row: Any) -> ListedEndpoint:
-    """Return the endpoint that one decoded entry of the list describes.
+    """Return the endpoint described by one decoded entry of the list.
 
     Raises:
-        EndpointFormatError: A field is missing, has another type, or its value is not allowed.
+        EndpointFormatError: A field is missing, has the wrong type, or has an invalid value.
     """
     address = _typed_field(row, "endpoint", str)
     state = _typed_field(row, "state", str)
@@ -65,15 +65,15 @@
     )
 
 
-def parse_update(table: Any) -> EndpointListUpdate:
-    """Return the complete list or the changes that a decoded document describes.
+def parse_update(document: Any) -> EndpointListUpdate:
+    """Return the complete list or the changes described by a decoded document.
 
     Raises:
-        EndpointFormatError: The document or one of its entries is not in the platform's form.
+        EndpointFormatError: The document or one of its entries does not have the platform's format.
     """
-    rows = _typed_field(table, "targets", list)
+    rows = _typed_field(document, "targets", list)
     return EndpointListUpdate(
-        revision=_typed_field(table, "rev", int),
-        complete=_typed_field(table, "all", bool),
+        revision=_typed_field(document, "rev", int),
+        complete=_typed_field(document, "all", bool),
         endpoints=tuple(map(parse_endpoint, rows)),
     )
--- a/kestreltrack/discovery/source_switch.py
+++ b/kestreltrack/discovery/source_switch.py
@@ -1,4 +1,4 @@
-"""An endpoint source that can be replaced by another one while it is followed."""
+"""An endpoint source that can be replaced by another one at run time."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 
 
 class SwitchableSource:
-    """Follows one source until another one replaces it; the new one begins with its complete list.
+    """Follows one source until another one replaces it.
 
-    The list of the old source stays in force until then, and the complete list of the new one is applied as the
-    difference: endpoints that are on both keep their retry-after, drains and health.
+    The list of the old source stays in effect until the new source has sent its complete list, of which only the
+    differences are applied: endpoints on both lists keep their retry-after, drains and health.
 
     Attributes:
-        source: The source in force.
+        source: The active source.
     """
 
     def __init__(self, source: EndpointSource) -> None:
-        """Begin with `source`."""
+        """Start with `source`."""
         self.source = source
         self._switched = asyncio.Event()
 
     def switch_to(self, source: EndpointSource) -> None:
-        """Replace the source in force by `source`, also while it is followed."""
+        """Replace the active source by `source`, even while it is being followed."""
         self.source = source
         self._switched.set()
 
     async def follow(self) -> AsyncIterator[EndpointListUpdate]:
-        """Yield the updates of the source in force, without end.
+        """Yield the updates of the active source indefinitely.
 
         Raises:
-            DiscoveryError: The source in force failed, or ended by itself.
+            DiscoveryError: The active source failed or ended without being replaced.
         """
         while True:
             self._switched.clear()
@@ -56,8 +56,8 @@
                 try:
                     update = next_update.result()
                 except StopAsyncIteration:
-                    # A source that ends is a fault: restarted at once, it could end for ever in a busy loop.
-                    raise DiscoveryError("the endpoint source ended by itself") from None
+                    # An error: a source that ends could otherwise be restarted in a busy loop.
+                    raise DiscoveryError("the endpoint source ended unexpectedly") from None
                 yield update
         finally:
             await cancel_and_wait((switched, next_update))
--- a/kestreltrack/discovery/task_cleanup.py
+++ b/kestreltrack/discovery/task_cleanup.py
@@ -1,4 +1,4 @@
-"""Ends the tasks that a source has started, before the source itself ends."""
+"""Ends the tasks that a source has started before the source itself ends."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 
 async def cancel_and_wait(tasks: Iterable[asyncio.Task[Any] | None]) -> None:
-    """Cancel the tasks and wait until all have ended; their results and errors are discarded.
+    """Cancel the tasks and wait until all have ended; their results and exceptions are discarded.
 
-    The wait is always complete, because a generator that one of the tasks runs cannot be closed before.
+    A cancellation of the caller does not shorten the wait, because a generator that one of the tasks runs cannot be
+    closed before the task has ended.
 
     Raises:
-        asyncio.CancelledError: The caller was cancelled during the wait; raised after it.
+        asyncio.CancelledError: The caller was cancelled during the wait; raised once all tasks have ended.
     """
     started = [task for task in tasks if task is not None]
     for task in started:
@@ -27,6 +28,6 @@
             cancellation = error
     for task in started:
         if not task.cancelled():
-            task.exception()  # retrieved, so that the event loop does not report it
+            task.exception()  # retrieved so that the event loop does not log it
     if cancellation is not None:
         raise cancellation
