--- a/tests/discovery_rig.py
+++ b/tests/discovery_harness.py
@@ -1,4 +1,4 @@
-"""Senders that follow a list service in virtual time, over connections with faults on request."""
+"""Harness for senders that follow a discovery service in virtual time, over connections with injected faults."""
 
 from __future__ import annotations
 
@@ -18,12 +18,17 @@
 )
 from kestreltrack.testing.emulator.virtual_time import run_in_virtual_time
 
-# Of the 6 s within which a change has to be received: the rest is left to a loaded service.
+# Below the required 6 s, to leave a margin for a loaded service.
 CHANGE_LATENCY_S = 5.7
 
 
 class FaultyConnection(DiscoveryConnection):
-    """Ends its next calls as `faults` say, then works as any other; `calls` holds the time and target of each."""
+    """Injects one of `faults` into each of its next calls, then works normally.
+
+    Attributes:
+        faults: The faults that have not been injected yet; an empty string stands for a normal call.
+        calls: The time in seconds and the request target of each call.
+    """
 
     def __init__(self, discovery: DiscoveryServer, *faults: str) -> None:
         super().__init__(discovery)
@@ -42,7 +47,7 @@
         if fault == "hang":
             await asyncio.sleep(timeout_s)
             raise TimeoutError
-        if fault == "endless":
+        if fault == "body timeout":
             await asyncio.sleep(http1.client.BODY_TIMEOUT_S)
         if fault:
             raise {"refused": ConnectionRefusedError("refused"), "reset": ConnectionBrokenError("reset")}.get(
@@ -59,7 +64,7 @@
 async def start_followers(
     discovery: DiscoveryServer, count: int, config: Settings
 ) -> list[tuple[ListFollower, FaultyConnection]]:
-    """Return senders that have the list and poll; a change has just ended all their long polls in one moment."""
+    """Start senders and return them once a change, which they all received, has synchronized their long polls."""
     followers = []
     for seed in range(count):
         connection = FaultyConnection(discovery)
@@ -73,11 +78,11 @@
     return followers
 
 
-def run_story(story: Callable[[], Awaitable[None]]) -> None:
-    """Run a story in virtual time, and cancel the tasks that it leaves."""
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a scenario in virtual time, and cancel the tasks that it leaves running."""
 
     async def run() -> None:
-        await story()
+        await scenario()
         remaining = asyncio.all_tasks() - {asyncio.current_task()}
         for task in remaining:
             task.cancel()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize(
     ("sender_count", "keepalive_ms"), [(2, 5000.0), (20, 5000.0), (40, 2500.0), (200, 1500.0)]
 )
-def test_keepalive_time_decreases_with_the_number_of_senders(
+def test_the_more_senders_share_an_endpoint_the_sooner_idle_connections_are_closed(
     sender_count: int, keepalive_ms: float, tmp_path: Path
 ) -> None:
     # With 200 senders idle connections filled 4 of 5 entries of small connection tables.
--- a/tests/test_http_source.py
+++ b/tests/test_http_source.py
@@ -1,4 +1,4 @@
-"""Long polling of the platform's list service: what is asked for after a failure, how long it waits, how often."""
+"""Long polling of the platform's discovery service: requests after a failure, waits and polling frequency."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class ScriptedClient:
-    """Stands in for the HTTP client: gives the scripted answers in turn and records each request."""
+    """Fake HTTP client that returns scripted responses in order and records the requests."""
 
-    def __init__(self, *answers: Any) -> None:
-        self.answers = list(answers)
+    def __init__(self, *responses: Any) -> None:
+        self.responses = list(responses)
         self.targets = list[str]()
         self.timeouts_s = list[float]()
 
@@ -34,13 +34,13 @@
     ) -> tuple[int, bytes]:
         self.targets.append(target)
         self.timeouts_s.append(timeout_s)
-        answer = self.answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer  # type: ignore[no-any-return]
+        response = self.responses.pop(0)
+        if isinstance(response, Exception):
+            raise response
+        return response  # type: ignore[no-any-return]
 
     def close(self) -> None:
-        """Do nothing: no connection is open."""
+        """Do nothing, because no connection is open."""
 
 
 def follow_script(
@@ -49,26 +49,26 @@
     change_address_after: int = -1,
     push_deadline_ms: float = 0.0,
 ) -> list[int]:
-    """Follow a source while the answers last, again after each failure; return the revisions of its updates."""
+    """Follow a source until all responses are used, again after each failure; return the revisions received."""
 
-    async def story() -> list[int]:
+    async def follow() -> list[int]:
         source = HttpEndpointSource("127.0.0.1:1", Telemetry(), sender_count, push_deadline_ms)
         source._client = client  # type: ignore[assignment]
         revisions = list[int]()
-        while client.answers:
+        while client.responses:
             try:
                 async for update in source.follow():
                     revisions.append(update.revision)
                     if len(revisions) == change_address_after:
                         source.change_address("127.0.0.1:2")
                         source._client = client  # type: ignore[assignment]
-                    if not client.answers:
+                    if not client.responses:
                         break
             except DiscoveryError:
                 continue
         return revisions
 
-    return asyncio.run(story())
+    return asyncio.run(follow())
 
 
 @pytest.mark.parametrize(
@@ -80,11 +80,12 @@
         (200, b'{"rev":44,"all":true,"targets":[{}]}'),
         (200, b'{"rev'),
     ],
-    ids=["503", "reset", "slow", "malformed", "cut short"],
+    ids=["503", "reset", "timeout", "malformed", "truncated"],
 )
 def test_after_failure_polls_from_the_last_received_revision(failure: Any) -> None:
-    # A complete list costs the service each entry; 40 senders that ask for it after each 503 keep it overloaded.
-    # What was missed is asked for by a call that does not wait: a long poll looks the same as a silent service.
+    # The cost of a complete list grows with its entries; 40 senders that request it after each 503 keep the service
+    # overloaded.  The call after a failure does not wait, because a long poll looks like a service that does not
+    # respond.
     client = ScriptedClient(COMPLETE_LIST, failure, DELTA, failure, DELTA)
 
     revisions = follow_script(client)
@@ -99,7 +100,7 @@
     assert revisions == [41, 43, 43]
 
 
-def test_without_any_list_asks_for_the_complete_list() -> None:
+def test_complete_list_is_requested_until_one_is_received() -> None:
     client = ScriptedClient((503, b""), (503, b""), COMPLETE_LIST)
 
     revisions = follow_script(client)
@@ -107,7 +108,7 @@
     assert client.targets == ["/api/targets"] * 3 and revisions == [41]
 
 
-def test_changed_address_is_asked_for_the_complete_list() -> None:
+def test_complete_list_is_requested_from_a_new_address() -> None:
     client = ScriptedClient(COMPLETE_LIST, COMPLETE_LIST)
 
     follow_script(client, change_address_after=1)
@@ -117,7 +118,7 @@
 
 
 def test_agent_is_polled_in_short_calls_and_after_a_timeout_for_the_complete_list() -> None:
-    # What the agent has counts as received right after an outage, so no call may outlast the outage by half a second.
+    # A list counts as received once the agent has it after an outage, so no call may outlast the outage by 0.5 s.
     client = ScriptedClient(COMPLETE_LIST, DELTA, TimeoutError(), TimeoutError(), COMPLETE_LIST, DELTA)
 
     revisions = follow_script(client, sender_count=200, push_deadline_ms=500.0)
@@ -148,7 +149,7 @@
 
 
 def poll_times_ms(sender_count: int, span_ms: float, call_ms: float = 0.0) -> list[float]:
-    """Return when the policy polls a service that always fails, after `call_ms` each time."""
+    """Return the times at which the policy polls a service whose calls all fail after `call_ms`."""
     driver = Relay(entry(1), sender_count=sender_count, must_poll=True)
     times = list[float]()
     driver.policy.subscribed = False
@@ -158,7 +159,7 @@
             times.append(driver.now)
             while driver.now < times[-1] + call_ms:
                 driver.now += 10.0
-                assert PollEndpointList() not in driver.do(TimerExpired(0)), "one at a time"
+                assert PollEndpointList() not in driver.do(TimerExpired(0)), "polls must not overlap"
             actions = driver.do(DiscoveryFailed())
         driver.now += 10.0
     return times
@@ -171,11 +172,13 @@
 def test_polls_after_failures_are_spread_and_never_far_apart(
     sender_count: int, min_gap_ms: float, max_gap_ms: float, call_ms: float
 ) -> None:
-    # A change has to be received within 6 s after the service can be reached again: gaps that grew to 0.3 s for each
-    # sender broke that.
+    # A change must be received within 6 s after the service is reachable again; a backoff that grew to 0.3 s per
+    # sender exceeded that.
     gaps = [after - before for before, after in pairwise(poll_times_ms(sender_count, 200_000, call_ms))]
-    assert max(gaps) <= max(max_gap_ms, call_ms + 10), "with the 50 ms of a step and an answer inside 6 s"
+    assert max(gaps) <= max(max_gap_ms, call_ms + 10), (
+        "leaves 6 s for a change, including a 50 ms step and the response"
+    )
     assert all(gap >= min_gap_ms for gap in gaps[3:]), (
-        "all senders together poll at most some 80 times a second"
+        "all senders together make at most about 80 polls per second"
     )
-    assert call_ms > min_gap_ms or len(set(gaps[3:])) > 10, "with jitter"
+    assert call_ms > min_gap_ms or len(set(gaps[3:])) > 10, "the intervals have jitter"
--- a/tests/test_incremental_update.py
+++ b/tests/test_incremental_update.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list in chunks: nothing is lost, drains come first, a change costs what it changes."""
+"""Incremental updates of the endpoint list: completeness, priority of drains, cost proportional to the change."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     return ListedEndpoint(f"u{number}", f"127.0.0.1:{port}", dest, "plain", "a", state, 5.0)
 
 
-def listed_by(policy: Policy) -> dict[str, tuple[int, bool]]:
-    """Return what the policy holds as listed, by uid: the destination, and whether requests may go there."""
+def listed_endpoints(policy: Policy) -> dict[str, tuple[int, bool]]:
+    """Return the destination of each endpoint that the policy has listed, and whether it accepts calls, by uid."""
     return {
         endpoint.name: (number, endpoint.accepts_calls)
         for number, destination in policy.destinations.items()
@@ -43,7 +43,7 @@
 
 
 def remaining_chunks(queue: IncrementalUpdateQueue) -> Iterator[UpdateChunk]:
-    """Yield all chunks that are queued."""
+    """Remove and yield all queued chunks."""
     while chunk := queue.next_chunk():
         yield chunk
 
@@ -62,14 +62,17 @@
     second = queue.next_chunk()
     assert second and [(e.endpoint, e.lifecycle) for e in second.event.entries] == [("u7", DRAINING)]
     driver.do(second.event)
-    assert listed_by(driver.policy)["u7"] == (3, False) and len(listed_by(driver.policy)) == CHUNK_SIZE
+    assert (
+        listed_endpoints(driver.policy)["u7"] == (3, False)
+        and len(listed_endpoints(driver.policy)) == CHUNK_SIZE
+    )
 
-    # The last endpoint is still deferred: it is applied once, as draining.
+    # The last endpoint is still deferred, so it is applied only once, as draining.
     queue.enqueue(EndpointListUpdate(3, False, (endpoint(last, DRAINING),)))
     for chunk in remaining_chunks(queue):
         driver.do(chunk.event)
-    assert len(listed_by(driver.policy)) == 5 * CHUNK_SIZE
-    assert not listed_by(driver.policy)[f"u{last}"][1]
+    assert len(listed_endpoints(driver.policy)) == 5 * CHUNK_SIZE
+    assert not listed_endpoints(driver.policy)[f"u{last}"][1]
 
 
 def test_many_drains_are_passed_on_before_additions() -> None:
@@ -115,7 +118,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(UPDATES)
-def test_any_sequence_of_updates_ends_with_the_sources_list(
+def test_any_sequence_of_updates_results_in_the_list_of_the_source(
     updates: list[tuple[bool, list[ListedEndpoint], set[int], int]],
 ) -> None:
     queue = IncrementalUpdateQueue(EndpointList())
@@ -139,7 +142,7 @@
     for chunk in remaining_chunks(queue):
         driver.do(chunk.event)
 
-    assert listed_by(driver.policy) == {uid: (e.dest, e.state is UP) for uid, e in expected.items()}
+    assert listed_endpoints(driver.policy) == {uid: (e.dest, e.state is UP) for uid, e in expected.items()}
     snapshot = queue.endpoint_list.snapshot().endpoints
     assert {e.uid: e for e in snapshot if e.state is not REMOVED} == expected
 
@@ -157,23 +160,23 @@
 
     driver.do(EndpointsUpdated([entry(7, lifecycle=DRAINING)], complete=False))
 
-    assert not iterations and listed_by(driver.policy)["e7"] == (7, False)
+    assert not iterations and listed_endpoints(driver.policy)["e7"] == (7, False)
 
 
-def test_endpoint_removed_with_an_attempt_in_flight_is_forgotten_after_its_end() -> None:
+def test_endpoint_removed_during_an_attempt_is_deleted_after_the_attempt() -> None:
     driver = Relay(entry(1), entry(2))
     driver.arrive(1)
     driver.do(EndpointsUpdated([entry(1, lifecycle=REMOVED)], complete=False))
     assert driver.policy.destinations[1].endpoints and driver.policy.draining_destinations == {1}
 
     driver.end("m1", Outcome.OK)
-    # Any change triggers the clean-up, not only one of the removed endpoint.
+    # A change of any endpoint triggers the cleanup.
     driver.do(EndpointsUpdated([entry(2)], complete=False))
 
     assert not driver.policy.destinations[1].endpoints and not driver.policy.draining_destinations
 
 
-def test_journal_records_changes_and_not_the_complete_list_again(tmp_path: Path) -> None:
+def test_journal_records_only_the_changes_of_an_update(tmp_path: Path) -> None:
     journal = Journal(tmp_path, 10_000_000, Telemetry())
     journal.record_endpoints(EndpointListUpdate(1, True, tuple(endpoint(n) for n in range(3000))))
     bytes_before = journal.file_bytes
@@ -184,7 +187,7 @@
     assert journal.file_bytes - bytes_before < 1000
     journal.close()
     recovered = Journal(tmp_path, 10_000_000, Telemetry()).endpoints
-    # Destination 4 has lost both of its endpoints: one of them is persisted as removed.
+    # Both endpoints of destination 4 were removed: one of them is persisted as removed.
     assert recovered and recovered.revision == 3 and len(recovered.endpoints) == 2999
     states = [listed.state for listed in recovered.endpoints if listed.uid in ("u7", "u8", "u9")]
     assert states == [DRAINING, REMOVED]
--- a/tests/test_source_switch.py
+++ b/tests/test_source_switch.py
@@ -1,4 +1,4 @@
-"""The switch between endpoint sources: what becomes of a cancellation while the old source is ended."""
+"""Switching between endpoint sources: the order of end and start, and cancellation during a switch."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SlowlyEndingSource:
-    """A source without updates, whose end takes `CLEANUP_S`."""
+    """A source without updates whose cleanup takes `CLEANUP_S`."""
 
     def __init__(self) -> None:
         self.followed = asyncio.Event()
@@ -37,7 +37,7 @@
 
 
 def test_switch_ends_the_old_source_before_the_new_one_is_followed() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         old = SlowlyEndingSource()
         new = SlowlyEndingSource()
         source = SwitchableSource(old)
@@ -51,11 +51,11 @@
         await cancel_and_wait([consumer])
         assert new.ended
 
-    asyncio.run(asyncio.wait_for(story(), 10.0))
+    asyncio.run(asyncio.wait_for(scenario(), 10.0))
 
 
-def test_cancellation_while_the_old_source_ends_is_not_lost() -> None:
-    async def story() -> None:
+def test_cancellation_during_the_cleanup_of_the_old_source_is_not_lost() -> None:
+    async def scenario() -> None:
         old = SlowlyEndingSource()
         new = SlowlyEndingSource()
         source = SwitchableSource(old)
@@ -70,13 +70,13 @@
             await asyncio.wait_for(consumer, 1.0)
         assert old.ended and not new.followed.is_set()
 
-    asyncio.run(asyncio.wait_for(story(), 10.0))
+    asyncio.run(asyncio.wait_for(scenario(), 10.0))
 
 
-def test_tasks_that_failed_or_ended_are_discarded() -> None:
-    async def story() -> None:
+def test_results_of_failed_and_cancelled_tasks_are_discarded() -> None:
+    async def scenario() -> None:
         async def fail() -> None:
-            raise RuntimeError("on request")
+            raise RuntimeError("injected fault")
 
         failed = asyncio.create_task(fail())
         waiting = asyncio.create_task(asyncio.sleep(1000.0))
@@ -86,4 +86,4 @@
 
         assert waiting.cancelled() and failed.done()
 
-    asyncio.run(asyncio.wait_for(story(), 10.0))
+    asyncio.run(asyncio.wait_for(scenario(), 10.0))
