--- a/kestreltrack/endpoints/__init__.py
+++ b/kestreltrack/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP to endpoints: connections (`connection_pool.py`), attempts, and what responses mean (`responses.py`)."""
+"""Sends attempts to endpoints over HTTP: connection pool, single and batch requests, interpretation of responses."""
--- a/kestreltrack/endpoints/batch.py
+++ b/kestreltrack/endpoints/batch.py
@@ -1,8 +1,9 @@
-"""Carries one request for several messages over HTTP, and reads the outcome of each from the response.
+"""Sends several messages in one HTTP request and derives the outcome of each from the response.
 
-Each message has an attempt of its own, which joins the request and waits for its own result.  The request itself is
-one task: connect, write all that may still begin, read, split.  It is aborted by closing its connection, and only
-once nobody waits for it any more: until then no result is given that would let a message be sent again.
+Each message has its own attempt, which joins the request and waits for its own result.  The request itself is one
+task: it connects, asks whether the attempts may still begin, writes their messages, reads the response and assigns
+the results.  It is aborted by closing its connection, but only once no attempt waits for it any more: until then no
+attempt gets a result that would allow its message to be sent again.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from dataclasses import dataclass, replace
 
 from kestreltrack.decision import Outcome
-from kestreltrack.endpoints.batch_format import BATCH_TARGET, LineOutcome, encode_part, parse_outcomes
+from kestreltrack.endpoints.batch_format import BATCH_TARGET, LineOutcome, encode_item, parse_outcomes
 from kestreltrack.endpoints.http_transport import HttpTransport
 from kestreltrack.endpoints.responses import (
     BODY_TIMEOUT_S,
@@ -21,24 +22,29 @@
     parse_load_report,
     parse_response,
     parse_retry_after_ms,
-    read_late_response,
+    read_buffered_response,
 )
 from kestreltrack.http1 import Connection, ConnectionBrokenError, ResponseHead
 from kestreltrack.ports import Attempt, AttemptResult
 
-# Nothing was executed: the endpoint accepts smaller requests only, or cannot read what was written.
+# Nothing was executed: the endpoint cannot parse the request, or accepts only smaller ones.
 REJECTED_REQUEST_STATUSES = (400, 413)
 
 
 @dataclass(eq=False, slots=True)
 class BatchMember:
-    """One attempt in a request."""
+    """One attempt of a batch request.
+
+    Attributes:
+        attempt: The attempt.
+        timeout_timer: Expires at the attempt's own timeout.
+        result: Completed with the attempt's result.
+        abandoned_as: The outcome if the connection is closed now; None while the attempt waits for its result.
+    """
 
     attempt: Attempt
-    # Runs until the attempt's own time-out.
     timeout_timer: asyncio.TimerHandle
     result: asyncio.Future[AttemptResult]
-    # Set where the attempt waits no more: its outcome if the connection is closed now.
     abandoned_as: Outcome | None = None
 
 
@@ -49,10 +55,10 @@
 
 
 class BatchTransport(HttpTransport):
-    """Carries attempts over pooled connections, several in one request where they share a `BatchCall`."""
+    """Sends attempts over pooled connections; those that share a `BatchCall` are sent in one request."""
 
     async def send(self, attempt: Attempt, connection: Connection | None = None) -> AttemptResult:
-        """Carry out one attempt, with those that share its request."""
+        """Make one attempt, in one request with those that share its `BatchCall`, and return its result."""
         batch_call = attempt.batch_call
         if batch_call is None:
             return await super().send(attempt, connection)
@@ -62,20 +68,27 @@
 
 
 class _BatchRequest:
-    """One request: its members, and the task that carries it."""
+    """One batch request: its members, and the task that sends it.
+
+    Attributes:
+        transport: The transport that created it.
+        telemetry: The transport's telemetry.
+        endpoint: The uid of the endpoint.
+        waiting_members: The members without a result, by message id.
+        sent_ids: The ids of the messages that were written.
+        started: Whether no more members can join.
+        fully_sent: After the connection broke or was closed: whether the last byte of the request was sent.
+        stale_connection: After the connection broke: whether it had been idle and broke without a response.
+    """
 
     def __init__(self, transport: BatchTransport, endpoint: str, address: str) -> None:
-        """Start the task; it runs one turn of the loop later, when all that share the request have joined."""
+        """Start the task; it runs in the next iteration of the event loop, after all members have joined."""
         self.transport = transport
         self.telemetry = transport.telemetry
         self.endpoint = endpoint
-        # Members whose result is still to come, by the id of their message.
         self.waiting_members = dict[str, BatchMember]()
-        # Messages that were written.
         self.sent_ids = frozenset[str]()
-        # Whether it is too late to join.
         self.started = False
-        # Of a request whose connection broke: whether its last byte was sent, and whether the connection was stale.
         self.fully_sent = False
         self.stale_connection = False
         self._task = asyncio.create_task(self._run(address))
@@ -84,15 +97,16 @@
     # Members -------------------------------------------------------------------------------------
 
     async def join(self, attempt: Attempt) -> AttemptResult:
-        """Join the request, and wait for the result of this attempt, also when cancelled."""
-        if self.started:  # too late: the policy decides anew
+        """Join the request and return the attempt's result, even if it is cancelled."""
+        if self.started:  # too late to join: the policy decides again
             return AttemptResult(Outcome.NOT_SENT)
         member = self._add_member(attempt)
         while not member.result.done():
             try:
                 await asyncio.wait({member.result})
             except asyncio.CancelledError:
-                # The result says that it was cancelled; it comes once the request has ended or does not need it.
+                # Keep waiting: the result says how the attempt ended.  It is set once the request has ended or can
+                # continue without this member.
                 self._abandon(attempt.message.id, Outcome.CANCELLED)
         member.timeout_timer.cancel()
         return member.result.result()
@@ -107,19 +121,20 @@
         return member
 
     def _abandon(self, message_id: str, outcome: Outcome) -> None:
-        """Note that an attempt was cancelled, or that its time is over."""
+        """Record that an attempt was cancelled or timed out."""
         member = self.waiting_members.get(message_id)
         if member is None:
             return
         member.abandoned_as = outcome
         if all(other.abandoned_as for other in self.waiting_members.values()):
-            self._task.cancel()  # all get their results once the connection is closed
+            self._task.cancel()  # all members get their results once the connection is closed
         elif not self.started:
             self._resolve(member, AttemptResult(Outcome.NOT_SENT))
         elif outcome is Outcome.TIMED_OUT:
-            # The request goes on for others, and this message cannot be sent again: no attempt is left where its own
-            # time is over.  One that was cancelled could, so it gets no result before the request has ended.  A
-            # response that was received in this turn is read first.
+            # The request continues for the other members.  A message whose attempt timed out has no attempt left, so
+            # it is safe to give it a result now.  One whose attempt was cancelled could be sent again, so it gets no
+            # result before the request has ended.  A response received in this iteration of the event loop is
+            # processed first.
             asyncio.get_running_loop().call_soon(self._time_out, member)
 
     def _time_out(self, member: BatchMember) -> None:
@@ -137,7 +152,7 @@
     # The request ---------------------------------------------------------------------------------
 
     async def _run(self, address: str) -> None:
-        """Connect, ask whether all may still begin, write, read, split."""
+        """Connect, ask whether the members may begin, send the request and assign the results."""
         pool = self.transport.pool
         connection = await pool.acquire(self.endpoint, address)
         response = None
@@ -154,12 +169,12 @@
         except BaseException:
             pool.discard(connection)
             self.fully_sent = connection.request_sent
-            if not await self._resolve_from_late_response(connection):
+            if not await self._resolve_from_buffered_response(connection):
                 self.stale_connection = connection.is_stale()
                 raise
             return
         if response is None:
-            await self._send_alone(members[0], connection, remaining_ms)
+            await self._send_single(members[0], connection, remaining_ms)
             return
         pool.release(self.endpoint, connection)
         self._resolve_from_response(response.head, response.body)
@@ -167,18 +182,18 @@
     def _select_members(self) -> tuple[list[BatchMember], bytes]:
         """Return the members that fit into one body, and the body.
 
-        The others are not sent: a second request would take a slot, and a part of the destination's limit, that the
-        policy has not counted.  It sends them in its own time.
+        The others are not sent: a second request would use a slot, and quota of the destination's rate limit, that
+        the policy has not accounted for.  The policy sends them later.
         """
         members = list[BatchMember]()
         body = b""
         for member in list(self.waiting_members.values()):
-            part = encode_part(member.attempt.message)
-            if members and len(body) + len(part) > MAX_BODY_BYTES:
+            item = encode_item(member.attempt.message)
+            if members and len(body) + len(item) > MAX_BODY_BYTES:
                 self._resolve(member, AttemptResult(Outcome.NOT_SENT))
             else:
                 members.append(member)
-                body += part
+                body += item
         return members, body
 
     async def _exchange(
@@ -192,24 +207,24 @@
         return _CompleteResponse(head, await self._read_body(connection))
 
     async def _read_body(self, connection: Connection) -> bytes:
-        """Return the body of the response, which counts only where it is complete."""
+        """Return the body of the response; an incomplete one is an error."""
         try:
             async with asyncio.timeout(BODY_TIMEOUT_S):
                 return await connection.read_body(MAX_BODY_BYTES)
         except (OSError, ConnectionBrokenError) as error:
             self.telemetry.count("endpoints.malformed_response")
-            raise ConnectionBrokenError("the response's body is not complete") from error
+            raise ConnectionBrokenError("the body of the response is incomplete") from error
 
-    async def _send_alone(self, member: BatchMember, connection: Connection, remaining_ms: float) -> None:
-        """Send the only member as if it had always been alone, with the time-out of such an attempt."""
+    async def _send_single(self, member: BatchMember, connection: Connection, remaining_ms: float) -> None:
+        """Send the only member as a single attempt, in the format and with the timeout of one."""
         member.timeout_timer.cancel()
         attempt = replace(member.attempt, batch_call=None, timeout_ms=remaining_ms)
         self._resolve(member, await self.transport.send(attempt, connection))
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """Give all that still wait a result, by how the connection ended."""
+        """Give the members that still wait a result, which depends on how the connection ended."""
         self.started = True
-        del self._task  # the exception that it failed with refers to this request
+        del self._task  # breaks a reference cycle: the task's exception refers to this request
         error = None if task.cancelled() else task.exception()
         if error and not isinstance(error, OSError | ConnectionBrokenError):
             self.telemetry.record_fault("endpoints.fault", error=repr(error))
@@ -220,11 +235,11 @@
                 self._resolve(member, self._result_of_broken_connection())
 
     def _result_of_abandoned(self, member: BatchMember) -> AttemptResult:
-        """Return the result where nobody waited any more, and the request was aborted."""
+        """Return a member's result after the request was aborted because no member waited any more."""
         outcome = member.abandoned_as or Outcome.CANCELLED
         if self.fully_sent:
             return AttemptResult(outcome)
-        # Before its last byte was sent it cannot have been executed.
+        # Without its last byte, the request cannot have been executed.
         return AttemptResult(Outcome.UNREACHABLE if outcome is Outcome.TIMED_OUT else Outcome.NOT_SENT)
 
     def _result_of_broken_connection(self) -> AttemptResult:
@@ -234,21 +249,21 @@
 
     # The response --------------------------------------------------------------------------------
 
-    async def _resolve_from_late_response(self, connection: Connection) -> bool:
-        """Give all the results of a response that was complete when the request was aborted.
+    async def _resolve_from_buffered_response(self, connection: Connection) -> bool:
+        """Assign the results of a response that was complete when the request was aborted; return whether one was.
 
-        That includes one received in that very turn.  Returns whether there was one.
+        That includes a response received in the same iteration of the event loop.
         """
-        late = await read_late_response(connection)
-        if late.head is None or late.body is None:
+        buffered = await read_buffered_response(connection)
+        if buffered.head is None or buffered.body is None:
             return False
-        if not self.fully_sent and late.head.status not in (200, *NOT_EXECUTED_STATUSES):
+        if not self.fully_sent and buffered.head.status not in (200, *NOT_EXECUTED_STATUSES):
             return False
-        self._resolve_from_response(late.head, late.body)
+        self._resolve_from_response(buffered.head, buffered.body)
         return True
 
     def _resolve_from_response(self, head: ResponseHead, body: bytes) -> None:
-        """Give each member the result that the response has for it."""
+        """Give each member its result from a complete response."""
         if head.status == 200:
             self._resolve_from_lines(head, body)
         elif head.status in REJECTED_REQUEST_STATUSES:
@@ -263,8 +278,8 @@
         outcomes = self._parse_outcomes(head, body)
         retry_after_ms = parse_retry_after_ms(head, self.telemetry) if "retry-after" in head.headers else 0.0
         load_report = parse_load_report(head.headers.get("x-load-report", ""))
-        # The policy takes the first outcome that it receives for that of the request, and a request that delivered
-        # something is no failure.
+        # The policy takes the first outcome it receives as that of the whole request, and a request that delivered
+        # any message is not a failure.
         delivered_first = sorted(
             self.waiting_members.values(),
             key=lambda member: outcomes[member.attempt.message.id].outcome is not Outcome.OK,
@@ -276,18 +291,18 @@
     def _parse_outcomes(self, head: ResponseHead, body: bytes) -> dict[str, LineOutcome]:
         length_known = "content-length" in head.headers or "transfer-encoding" in head.headers
         outcomes = parse_outcomes(body, self.waiting_members.keys(), self.sent_ids, length_known)
-        if outcomes.unexpected:
-            self.telemetry.record_fault("endpoints.unexpected_lines", by=outcomes.unexpected)
+        if outcomes.unexpected_count:
+            self.telemetry.record_fault("endpoints.unexpected_lines", by=outcomes.unexpected_count)
         return outcomes.by_message_id
 
 
 def _begin(members: list[BatchMember]) -> bool:
-    """Ask whether all members may begin now; they are recorded in one write."""
+    """Return whether the members may begin now; their attempts are recorded in one write."""
     first, *others = members
     return first.attempt.begin(*(member.attempt.message.id for member in others))
 
 
 def _longest_remaining_ms(members: list[BatchMember]) -> float:
-    """Return how long the member with the latest time-out still waits, 1 ms at least."""
+    """Return the time until the latest timeout of a member; at least 1 ms."""
     latest_deadline = max(member.timeout_timer.when() for member in members)
     return max(1.0, 1000.0 * (latest_deadline - asyncio.get_running_loop().time()))
--- a/kestreltrack/endpoints/connection_pool.py
+++ b/kestreltrack/endpoints/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, within what the endpoints and this process can bear."""
+"""A pool of connections to endpoints, with an idle timeout and a limit on open connections."""
 
 from __future__ import annotations
 
@@ -8,20 +8,24 @@
 from kestreltrack.http1 import Connection
 from kestreltrack.telemetry import Telemetry
 
-# Pause between two looks at the idle connections; short against any idle time-out of an endpoint.
+# Pause between two sweeps of the idle connections; short compared with any endpoint's idle timeout.
 SWEEP_INTERVAL_S = 0.25
 
 
 class ConnectionPool:
-    """Connections by endpoint, since another endpoint may come to have the same address.
+    """Connections by endpoint; not by address, because another endpoint may get the same address later.
 
-    The idle connection that was used last is used first, so that those that are not needed grow old.
+    The most recently used idle connection is reused first, so that connections that are not needed reach the idle
+    timeout.
+
+    Attributes:
+        open_count: The number of open connections, idle or in use, including those being opened.
     """
 
     def __init__(
         self, idle_timeout_s: float, connect_timeout_s: float, max_connections: int, telemetry: Telemetry
     ) -> None:
-        """Keep a connection idle for `idle_timeout_s` at most, and `max_connections` open in all."""
+        """Create a pool that holds at most `max_connections`, each idle for less than `idle_timeout_s`."""
         self.idle_timeout_s = idle_timeout_s
         self.connect_timeout_s = connect_timeout_s
         self.max_connections = max_connections
@@ -30,9 +34,11 @@
         self._idle: defaultdict[str, list[Connection]] = defaultdict(list)
 
     async def acquire(self, endpoint: str, address: str) -> Connection:
-        """Return an idle connection that can still be used, or a new one.
+        """Return an idle connection that is still reusable, or a new one.
 
-        Raises `OSError` where none comes up, or all that the limit allows are in use.
+        Raises:
+            OSError: The connection failed, or the limit is reached and no connection is idle.
+            InvalidAddressError: The address is not of the form ``host:port``.
         """
         while idle := self._idle[endpoint]:
             connection = idle.pop()
@@ -43,14 +49,14 @@
             ):
                 return connection
             self.discard(connection)
-        self._make_room()
+        self._evict_until_below_limit()
         return await self._open(address)
 
-    def _make_room(self) -> None:
-        """Close idle connections until another may be opened."""
+    def _evict_until_below_limit(self) -> None:
+        """Close the oldest idle connections until another may be opened; raises `OSError` if none is idle."""
         while self.open_count >= self.max_connections:
             if not self._evict_oldest():
-                raise OSError("all connections that the limits allow are busy")
+                raise OSError("all connections that the limits allow are in use")
 
     async def _open(self, address: str) -> Connection:
         self.open_count += 1
@@ -63,16 +69,19 @@
         return connection
 
     async def _has_no_pending_input(self, connection: Connection) -> bool:
-        """Return whether the kernel holds no input of it: no end, and nothing that would answer the next request."""
+        """Return whether the kernel holds no input for the connection.
+
+        That would be the end of the stream, or bytes that would be taken for the response to the next request.
+        """
         try:
-            await asyncio.sleep(0)  # uvloop reads all that was received before it goes on
+            await asyncio.sleep(0)  # uvloop reads all received data before it resumes this task
         except BaseException:
             self.discard(connection)
             raise
         return connection.is_reusable()
 
     def release(self, endpoint: str, connection: Connection) -> None:
-        """Make a connection idle, if it can carry another request; else close it."""
+        """Make a connection idle if it can carry another request; otherwise close it."""
         if connection.is_reusable():
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle[endpoint].append(connection)
@@ -80,7 +89,7 @@
             self.discard(connection)
 
     def discard(self, connection: Connection) -> None:
-        """Close a connection that `acquire` returned."""
+        """Close a connection and remove it from the count of open ones."""
         self.open_count -= 1
         connection.close()
 
@@ -90,9 +99,9 @@
             self.discard(connection)
 
     async def sweep_idle(self) -> None:
-        """Close idle connections before the endpoint's own time-out; runs until it is cancelled.
+        """Close idle connections before the endpoint's own idle timeout does; runs until it is cancelled.
 
-        A request that crosses the endpoint's closing on its way would end as a reset.
+        A request sent while the endpoint closes the connection would end in a reset.
         """
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
@@ -116,7 +125,7 @@
         return connection.is_reusable() and idle_s < self.idle_timeout_s
 
     def _evict_oldest(self) -> bool:
-        """Close the connection that has been idle for the longest time; return whether there was one."""
+        """Close the connection that has been idle longest; return whether there was one."""
         idle_lists = [idle for idle in self._idle.values() if idle]
         if not idle_lists:
             return False
--- a/kestreltrack/endpoints/http_transport.py
+++ b/kestreltrack/endpoints/http_transport.py
@@ -1,4 +1,4 @@
-"""Carries one attempt over HTTP and reads its result from what is received."""
+"""Sends single attempts over HTTP and derives their results from the responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     NOT_EXECUTED_STATUSES,
     OK_BODY_TIMEOUT_S,
     parse_response,
-    read_late_response,
+    read_buffered_response,
 )
 from kestreltrack.http1 import Connection, ConnectionBrokenError
 from kestreltrack.ports import Attempt, AttemptResult
@@ -24,10 +24,10 @@
 
 
 class HttpTransport:
-    """Carries attempts over pooled connections; each is written once and never resent."""
+    """Sends attempts over pooled connections; each request is written once and never resent."""
 
     def __init__(self, pool: ConnectionPool, telemetry: Telemetry) -> None:
-        """Use the connections of `pool`."""
+        """Create a transport that uses the connections of `pool`."""
         self.pool = pool
         self.telemetry = telemetry
 
@@ -36,10 +36,10 @@
         self.pool.close_idle(uid)
 
     async def send(self, attempt: Attempt, connection: Connection | None = None) -> AttemptResult:
-        """Carry out one attempt, on `connection` where one is given.
+        """Make one attempt and return its result, even if it is cancelled.
 
-        Connects, asks whether the attempt may still begin, writes the request, and reads the response.  Cancelling
-        this ends the attempt with a result all the same.
+        Acquires a connection unless one is given, asks whether the attempt may still begin, writes the request, and
+        reads the response.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + attempt.timeout_ms / 1000.0
@@ -52,41 +52,41 @@
                 headers = _request_headers(attempt, deadline - loop.time())
                 await connection.send("POST", MESSAGE_TARGET, headers, attempt.message.body)
                 self.telemetry.count("app.forwards")
-                # The message is delivered with the status line.  What follows may take a second or never come, and
-                # this process may be killed meanwhile: the next one would take the message for one in doubt.
+                # The status line proves the delivery, so report it at once.  The rest may take a second or never
+                # arrive, and if this process is killed meanwhile, its successor would find an ambiguous outcome.
                 head = await connection.read_head(LOAD_REPORT_HEADER, partial(_report_delivery, attempt))
             async with asyncio.timeout(OK_BODY_TIMEOUT_S if head.status == 200 else BODY_TIMEOUT_S):
                 await connection.read_body(MAX_BODY_BYTES)
         except (asyncio.CancelledError, Exception) as error:
             if connection:
-                self.pool.discard(connection)  # an attempt is aborted by closing its connection
+                self.pool.discard(connection)  # closing the connection aborts the attempt
             return await self._result_after_abort(connection, error)
         self.pool.release(attempt.endpoint, connection)
         return parse_response(head, self.telemetry)
 
     async def _result_after_abort(self, connection: Connection | None, error: BaseException) -> AttemptResult:
-        """Return the result of an attempt whose connection has been closed, or never came up; never waits.
+        """Return the result of an attempt whose connection was closed or never established; never waits.
 
-        What had been received by then comes first, also where that was in the very turn of a time-out or a
-        cancellation: a 200 is true, and a ``Retry-After`` binds.
+        A response received by then takes precedence, even if it arrived in the same iteration of the event loop as
+        the timeout or the cancellation: a 200 proves the delivery, and a ``Retry-After`` has to be obeyed.
         """
         if not isinstance(error, asyncio.CancelledError | OSError | ConnectionBrokenError):
             self.telemetry.record_fault("endpoints.fault", error=repr(error))
         if connection is None:
-            return _result_of_unsent(error)
+            return _result_of_unsent_request(error)
         request_sent = connection.request_sent
-        late = await read_late_response(connection)
+        buffered = await read_buffered_response(connection)
         if (
-            late.head is not None
-            and late.body is not None
-            and (request_sent or late.head.status in NOT_EXECUTED_STATUSES)
+            buffered.head is not None
+            and buffered.body is not None
+            and (request_sent or buffered.head.status in NOT_EXECUTED_STATUSES)
         ):
-            return parse_response(late.head, self.telemetry)
-        if connection.partial_status() == 200:  # the status line is true, whatever follows
+            return parse_response(buffered.head, self.telemetry)
+        if connection.partial_status() == 200:  # the status line alone proves the delivery
             return AttemptResult(Outcome.OK, final=True)
         if not request_sent:
-            return _result_of_unsent(error)
-        if late.head is not None:  # whatever it says, the message may have been executed
+            return _result_of_unsent_request(error)
+        if buffered.head is not None:  # without its body, it does not prove that the message was not executed
             self.telemetry.count("endpoints.malformed_response")
             return AttemptResult(Outcome.CONNECTION_BROKEN)
         return _result_without_response(connection, error)
@@ -97,15 +97,15 @@
         attempt.on_delivered()
 
 
-def _result_of_unsent(error: BaseException) -> AttemptResult:
-    """Return the result of an attempt whose last byte was not sent: an endpoint executes only complete requests."""
+def _result_of_unsent_request(error: BaseException) -> AttemptResult:
+    """Return the result if the request was not sent completely: an endpoint executes only complete requests."""
     if isinstance(error, asyncio.CancelledError):
         return AttemptResult(Outcome.NOT_SENT)
     return AttemptResult(Outcome.UNREACHABLE)
 
 
 def _result_without_response(connection: Connection, error: BaseException) -> AttemptResult:
-    """Return the result of an attempt that was sent, and of whose response not even a head was received."""
+    """Return the result if the request was sent, but the head of a response was not received."""
     if isinstance(error, asyncio.CancelledError):
         return AttemptResult(Outcome.CANCELLED)
     if isinstance(error, TimeoutError):
--- a/kestreltrack/http1/__init__.py
+++ b/kestreltrack/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client over asyncio."""
+"""An HTTP/1.1 client over asyncio."""
 
 from kestreltrack.http1.address import split_address
 from kestreltrack.http1.client import HttpClient, HttpResponse
--- a/kestreltrack/http1/address.py
+++ b/kestreltrack/http1/address.py
@@ -8,7 +8,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of ``host:port``; the brackets of an IPv6 address are removed.
+    """Split ``host:port`` into host and port; the brackets of an IPv6 address are removed.
 
     Raises:
         InvalidAddressError: The address is not of this form.
--- a/kestreltrack/http1/client.py
+++ b/kestreltrack/http1/client.py
@@ -1,4 +1,4 @@
-"""Complete HTTP/1.1 exchanges with one server."""
+"""An HTTP/1.1 client that makes complete exchanges with one server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from kestreltrack.http1.connection import Connection
 from kestreltrack.http1.errors import ConnectionBrokenError, TruncatedResponseError
 
-# For the rest of a response behind its head: that may never end either.
+# Timeout for the body of a response after its head: it may never end.
 BODY_TIMEOUT_S = 1.0
 
 
@@ -21,12 +21,12 @@
 
 
 class HttpClient:
-    """Makes exchanges with one server; idle connections are cached for a short while."""
+    """Makes exchanges with one server; connections stay open for reuse for a short time."""
 
     def __init__(
         self, address: str, idle_timeout_s: float = 2.0, connect_timeout_s: float = math.inf
     ) -> None:
-        """Nothing is opened before the first request; a connection comes up within `connect_timeout_s` or fails."""
+        """Open nothing before the first request; a connection is established within `connect_timeout_s` or fails."""
         self.address = address
         self.idle_timeout_s = idle_timeout_s
         self.connect_timeout_s = connect_timeout_s
@@ -38,32 +38,35 @@
         """Send one request and return its response.
 
         Raises:
-            OSError: No connection came up, it failed, or the time is over.
-            ConnectionBrokenError: The connection ended before a response had begun.
-            TruncatedResponseError: A response had begun, and could not be read to its end.
+            OSError: The connection could not be established or failed, or no response began within `timeout_s`.
+            ConnectionBrokenError: The connection ended before a response began.
+            TruncatedResponseError: A response began, but could not be read to its end.
+            InvalidAddressError: The address is not of the form ``host:port``.
         """
         connection = None
         try:
-            async with asyncio.timeout(timeout_s) as limit:
-                self._in_flight.add(limit)
+            async with asyncio.timeout(timeout_s) as time_limit:
+                self._in_flight.add(time_limit)
                 connection = self._take_idle() or await self._connect(timeout_s)
                 await connection.send(method, target, [], body)
                 head = await connection.read_head()
-                _limit_body_time(limit)
+                _limit_body_time(time_limit)
                 response_body = await connection.read_body()
         except BaseException as error:
             if connection:
                 connection.close()
                 if connection.response_begun() and isinstance(error, (OSError, ConnectionBrokenError)):
-                    raise TruncatedResponseError(str(error) or "the response does not end") from error
+                    raise TruncatedResponseError(
+                        str(error) or "the response was not complete in time"
+                    ) from error
             raise
         finally:
-            self._in_flight.discard(limit)
+            self._in_flight.discard(time_limit)
         self._release(connection)
         return HttpResponse(head.status, response_body)
 
     def _take_idle(self) -> Connection | None:
-        """Return the idle connection that was used last, if one can still be used; close those that cannot."""
+        """Return the most recently used idle connection that is still reusable, if any; close those that are not."""
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
@@ -76,7 +79,7 @@
         return await Connection.open(self.address, min(timeout_s, self.connect_timeout_s))
 
     def _release(self, connection: Connection) -> None:
-        """Cache a connection for the next request, or close it."""
+        """Make a connection idle if it can carry another request; otherwise close it."""
         if connection.is_reusable() and not self._closed:
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle.append(connection)
@@ -84,17 +87,17 @@
             connection.close()
 
     def close(self) -> None:
-        """Close idle connections; exchanges in flight fail at once, as if their time were over."""
+        """Close the idle connections; exchanges in flight fail at once, as if they had timed out."""
         self._closed = True
         while self._idle:
             self._idle.pop().close()
-        for limit in self._in_flight:
-            if not limit.expired():
-                limit.reschedule(asyncio.get_running_loop().time())
+        for time_limit in self._in_flight:
+            if not time_limit.expired():
+                time_limit.reschedule(asyncio.get_running_loop().time())
 
 
-def _limit_body_time(limit: asyncio.Timeout) -> None:
-    """Let `BODY_TIMEOUT_S` pass from now on at most; a limit that has expired ends the exchange anyway."""
-    if not limit.expired():
+def _limit_body_time(time_limit: asyncio.Timeout) -> None:
+    """Shorten a time limit to `BODY_TIMEOUT_S` from now on; one that has expired ends the exchange anyway."""
+    if not time_limit.expired():
         body_deadline = asyncio.get_running_loop().time() + BODY_TIMEOUT_S
-        limit.reschedule(min(limit.when() or math.inf, body_deadline))
+        time_limit.reschedule(min(time_limit.when() or math.inf, body_deadline))
--- a/kestreltrack/http1/connection.py
+++ b/kestreltrack/http1/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 client connection over asyncio: h11 parses, one exchange at a time (RFC 9112)."""
+"""An HTTP/1.1 client connection over asyncio: one exchange at a time, parsed by h11 (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -15,48 +15,52 @@
 from kestreltrack.http1.errors import ConnectionBrokenError
 from kestreltrack.http1.protocol import BufferedProtocol
 
-# Of a response: a complete endpoint list is far smaller.
+# Default limit on the body of a response; a complete endpoint list is far smaller.
 MAX_BODY_BYTES = 4 * 1024 * 1024
 
-# Of a response, status line and headers.
+# Limit on the status line and headers of a response.
 MAX_HEAD_BYTES = 16 * 1024
 
-# For the rest of a head that has begun: it may never end.
+# Timeout for the rest of a response head after its first byte: it may never end.
 HEAD_TIMEOUT_S = 1.0
 
-# Interim (1xx) responses in front of a final one.
-MAX_INTERIM_RESPONSES = 16
+# Limit on the response heads of one exchange: those of interim (1xx) responses and of the final one.
+MAX_RESPONSE_HEADS = 16
 
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([0-9]{3})(?![0-9])[^\n]*\n")
 
 BLANK_LINE = re.compile(rb"\n\r?\n")
 
-# A header line without control characters other than tabs, and without bytes beyond ASCII.
+# A header line in ASCII, without control characters other than tab.
 PLAIN_TEXT = re.compile(rb"[\t\r -~]*")
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of a response; the names of the headers are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
 
 class Connection:
-    """One client connection, made by `open`."""
+    """One client connection, created by `open`.
+
+    Attributes:
+        address: The server's address, ``host:port``.
+        idle_since: When it last became idle, in seconds of the loop's clock; 0 if it never did.  Set by its user.
+    """
 
     def __init__(self, transport: asyncio.Transport, protocol: BufferedProtocol, address: str) -> None:
         """Wrap an open transport and its protocol."""
         self.address = address
-        # When the last exchange ended, on the clock of the loop; 0 before the first.
         self.idle_since = 0.0
         self._transport = transport
         self._protocol = protocol
         self._h11 = h11.Connection(our_role=h11.CLIENT)
-        # Whether the whole request was written to the transport.
+        # Whether the complete request was written to the transport.
         self._request_written = False
-        # What was received of the head, and whether h11 has been given it.
+        # The received bytes of the head, and whether they were passed to h11.
         self._head_bytes = b""
         self._head_fed = False
         self._head: ResponseHead | None = None
@@ -64,7 +68,12 @@
 
     @classmethod
     async def open(cls, address: str, timeout_s: float) -> Connection:
-        """Connect; raises `OSError`, which a time-out is too, or `InvalidAddressError`."""
+        """Connect to a server.
+
+        Raises:
+            OSError: The connection could not be established, or not within `timeout_s`.
+            InvalidAddressError: The address is not of the form ``host:port``.
+        """
         host, port = split_address(address)
         protocol = BufferedProtocol()
         async with asyncio.timeout(timeout_s):
@@ -72,14 +81,18 @@
         return cls(transport, protocol, address)
 
     async def send(self, method: str, target: str, headers: list[tuple[str, str]], body: bytes = b"") -> None:
-        """Write one request; return once its last byte is sent, else raise `ConnectionBrokenError`."""
+        """Write one request and return once its last byte is sent.
+
+        Raises:
+            ConnectionBrokenError: The connection was closed or broke before that.
+        """
         data = self._encode_request(method, target, headers, body)
         self._reset_response()
         if self._transport.is_closing():
-            raise ConnectionBrokenError("the connection has been closed")
+            raise ConnectionBrokenError("the connection is closed")
         self._transport.write(data)
-        if self._transport.is_closing():  # the kernel has refused it
-            raise ConnectionBrokenError("the connection broke under the request")
+        if self._transport.is_closing():  # the kernel has rejected the data
+            raise ConnectionBrokenError("the connection broke while the request was written")
         self._request_written = True
         await self._protocol.drain()
 
@@ -100,7 +113,7 @@
 
     @property
     def request_sent(self) -> bool:
-        """Whether the request's last byte was given to the network: from then on it may be executed."""
+        """Whether the kernel has taken the last byte of the request: from then on it may be executed."""
         return self._request_written and not self._protocol.unsent
 
     # The response --------------------------------------------------------------------------------
@@ -108,38 +121,43 @@
     async def read_head(
         self, optional_header: bytes = b"", on_status: Callable[[int], None] | None = None
     ) -> ResponseHead:
-        """Return status and headers; `optional_header` (in lower case) is left out where it is not plain text.
+        """Return the status and headers of the response.
+
+        Continues where a cancelled call stopped, and never waits on a closed connection.
 
-        `on_status` is called with the status as soon as its line is received, and may be called again.
+        Args:
+            optional_header: The name, in lower case, of a header that is omitted if it is not plain text.
+            on_status: Called with the status as soon as the status line is received, possibly more than once.
 
-        Continues where a call that was cancelled had stopped, and never waits on a connection that has been closed.
-        Raises `ConnectionBrokenError`.
+        Raises:
+            ConnectionBrokenError: The connection ended, or what was received is not the head of a response.
         """
         if not self._head_fed:
             await self._feed_head(optional_header, on_status)
         if self._head is None:
             event = await self._next_event()
             if not isinstance(event, h11.Response):
-                raise ConnectionBrokenError("what was received is not a response")
+                raise ConnectionBrokenError("the received bytes are not an HTTP response")
             headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in event.headers}
             self._head = ResponseHead(event.status_code, headers)
         return self._head
 
     async def read_body(self, max_bytes: int = MAX_BODY_BYTES) -> bytes:
-        """Return the body, and make the connection ready for the next request if it stays open.
+        """Return the body, and prepare the connection for the next request if it stays open.
 
-        Raises `ConnectionBrokenError`, also where the body is longer than `max_bytes`.
+        Raises:
+            ConnectionBrokenError: The connection ended, or the body is malformed or longer than `max_bytes`.
         """
         while not isinstance(event := await self._next_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data) or len(self._body) + len(event.data) > max_bytes:
-                raise ConnectionBrokenError("the response's body is cut short or too large")
+                raise ConnectionBrokenError("the body of the response is truncated or too large")
             self._body += event.data
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
         return bytes(self._body)
 
     async def _next_event(self) -> h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]:
-        """Return the next event of the response."""
+        """Return the next event of the response; raises `ConnectionBrokenError`."""
         try:
             while (event := self._h11.next_event()) is h11.NEED_DATA:
                 self._h11.receive_data(await self._protocol.read())
@@ -148,18 +166,18 @@
         return event
 
     async def _feed_head(self, optional_header: bytes, on_status: Callable[[int], None] | None) -> None:
-        """Give h11 the head, without the interim responses in front of it.
+        """Pass the head of the final response to h11, without the interim responses before it.
 
-        That includes 101: the response that counts comes behind it.
+        That includes a 101: the final response comes after it.
         """
-        for _ in range(MAX_INTERIM_RESPONSES):
+        for _ in range(MAX_RESPONSE_HEADS):
             head_length = await self._receive_head(on_status)
             status_line = STATUS_LINE.match(self._head_bytes)
             if not status_line or status_line[1][:1] != b"1":
                 break
             self._head_bytes = self._head_bytes[head_length:]
         else:
-            raise ConnectionBrokenError("interim responses do not end")
+            raise ConnectionBrokenError("too many interim responses")
         lines = [
             line
             for line in self._head_bytes[:head_length].split(b"\n")
@@ -169,67 +187,67 @@
         self._h11.receive_data(b"\n".join(lines) + self._head_bytes[head_length:])
 
     async def _receive_head(self, on_status: Callable[[int], None] | None) -> int:
-        """Receive until `_head_bytes` holds a head; return the length of the head."""
+        """Receive until `_head_bytes` contains a complete head; return the length of that head."""
         try:
-            async with asyncio.timeout(None) as limit:
+            async with asyncio.timeout(None) as time_limit:
                 while not (blank_line := BLANK_LINE.search(self._head_bytes)):
                     self._check_partial_head()
-                    if self._head_bytes and limit.when() is None:
-                        limit.reschedule(asyncio.get_running_loop().time() + HEAD_TIMEOUT_S)
+                    if self._head_bytes and time_limit.when() is None:
+                        time_limit.reschedule(asyncio.get_running_loop().time() + HEAD_TIMEOUT_S)
                     data = await self._protocol.read()
                     if not data:
-                        raise ConnectionBrokenError("the connection ended before a response")
+                        raise ConnectionBrokenError("the connection ended before the end of a response head")
                     self._head_bytes += data
                     status = self.partial_status()
                     if on_status and status is not None:
                         on_status(status)
         except TimeoutError as error:
-            raise ConnectionBrokenError("the head of the response does not end") from error
+            raise ConnectionBrokenError("the head of the response was not complete in time") from error
         return blank_line.end()
 
     def _check_partial_head(self) -> None:
         if not b"HTTP/1.".startswith(self._head_bytes[:7]) or len(self._head_bytes) > MAX_HEAD_BYTES:
-            raise ConnectionBrokenError("what was received is not the head of a response")
+            raise ConnectionBrokenError("the received bytes are not a response head, or it is too large")
 
     def response_begun(self) -> bool:
-        """Return whether anything of a response to the present request was received."""
+        """Return whether any byte of a response to the current request was received."""
         return bool(self._head_bytes)
 
     def partial_status(self) -> int | None:
-        """Return the status, where its line was received but the rest cannot be read."""
+        """Return the status if the status line was received, even if the rest is missing or malformed."""
         status_line = STATUS_LINE.match(self._head_bytes)
         return int(status_line[1]) if status_line else None
 
     # Between exchanges ---------------------------------------------------------------------------
 
     def is_stale(self) -> bool:
-        """Return whether the connection had carried a request before, and got no response to the present one."""
+        """Return whether the connection has been idle before and received nothing for the current request."""
         return self.idle_since > 0.0 and not self._head_bytes
 
     def is_reusable(self) -> bool:
-        """Return whether another request may be written to it, as far as this side can see."""
+        """Return whether another request may be written, as far as this side of the connection can tell."""
         idle = self._h11.our_state is h11.IDLE and not self._h11.trailing_data[0]
-        # Bytes that nobody has asked for would be taken for the response to the next request.
+        # Unread bytes would be taken for the response to the next request.
         protocol = self._protocol
         return idle and not (
             protocol.unread or protocol.eof or protocol.loss_reason or self._transport.is_closing()
         )
 
     def close(self) -> None:
-        """Close at once: nothing more is sent; what was received can still be read, without waiting."""
+        """Close at once: nothing more is sent, but buffered data can still be read, without waiting."""
         if self._protocol.unsent and not self._transport.is_closing():
             self._shut_down_sending()
         self._protocol.mark_lost("closed")
         self._transport.abort()
 
     def _shut_down_sending(self) -> None:
-        """Keep the rest of a request from being sent after `close`.
+        """Prevent the rest of a request from being sent after `close`.
 
-        uvloop closes one turn later, and hands over until then what the kernel has room for: the last byte of a
-        request that is assumed to be incomplete could still be sent.
+        uvloop closes the socket one iteration of the event loop later and until then writes as much as the kernel
+        accepts: it could still send the last byte of a request that is assumed to be incomplete.
         """
         original = self._transport.get_extra_info("socket")
         with socket.socket(original.family, original.type, original.proto, original.fileno()) as duplicate:
-            with suppress(OSError):  # it has been reset
+            with suppress(OSError):  # the connection was reset
                 duplicate.shutdown(socket.SHUT_WR)
             duplicate.detach()
--- a/kestreltrack/http1/errors.py
+++ b/kestreltrack/http1/errors.py
@@ -4,21 +4,24 @@
 
 
 class HttpError(Exception):
-    """Base of the errors of this package; that no connection comes up is an `OSError`."""
+    """Base class of the errors of this package; a connection that cannot be established is an `OSError`."""
 
 
 class InvalidAddressError(HttpError, ValueError):
-    """An address is not of the form ``host:port``."""
+    """An address is not of the form ``host:port``.
+
+    Attributes:
+        address: The invalid address.
+    """
 
     def __init__(self, address: str) -> None:
-        """Keep the address that was given."""
         super().__init__(f"{address!r} is not host:port")
         self.address = address
 
 
 class ConnectionBrokenError(HttpError):
-    """The connection ended, or what was received is not HTTP."""
+    """The connection ended, or the received bytes are not valid HTTP."""
 
 
 class TruncatedResponseError(ConnectionBrokenError):
-    """A response had begun, and was cut short, malformed or never ended: the server was reached."""
+    """A response began, but was truncated, malformed or not completed in time; the server was reached."""
--- a/kestreltrack/http1/protocol.py
+++ b/kestreltrack/http1/protocol.py
@@ -1,4 +1,4 @@
-"""The asyncio protocol under a client connection: what was received, and whether all was sent."""
+"""The asyncio protocol of a client connection: buffers received data and tracks whether all data was sent."""
 
 from __future__ import annotations
 
@@ -7,64 +7,66 @@
 
 from kestreltrack.http1.errors import ConnectionBrokenError
 
-# Bytes that are received and not read yet; beyond that the other side has to wait.
+# Limit on buffered bytes that were not read yet; beyond it, receiving is paused.
 MAX_UNREAD_BYTES = 128 * 1024
 
 
 class BufferedProtocol(asyncio.Protocol):
-    """Buffers what was received, and knows whether all that was written has left this process.
+    """Buffers received data, and tracks whether the kernel has taken all written data.
 
-    The asyncio streams offer neither: a reader drops what came before a reset, and a cancelled `drain` does not say
-    whether the last byte had been sent.  Both decide whether a request may have been executed.
+    The asyncio streams offer neither: a reader discards the data received before a reset, and a cancelled `drain`
+    does not tell whether the last byte was sent.  Both decide whether a request may have been executed.
+
+    Attributes:
+        unread: The received bytes that were not read yet.
+        unsent: Whether the kernel has not taken all written data.
+        eof: Whether the server has ended its side of the connection.
+        loss_reason: Why nothing is sent or received any more; empty while the connection is up.
     """
 
     _transport: asyncio.Transport
 
     def __init__(self) -> None:
-        """Start with nothing received and nothing written."""
         self.unread = bytearray()
-        # Whether the kernel has not taken all that was written.
         self.unsent = False
-        # Whether the other side has ended its sending.
         self.eof = False
-        # Why nothing is sent or received any more; empty while the connection is up.
         self.loss_reason = ""
         self._waiter: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport of the connection, which is up now."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        # `pause_writing` is called while anything is left in this process, and only then.
+        """Take the transport of the established connection."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
+        # With this limit, writing is paused exactly while the transport buffers data.
         self._transport.set_write_buffer_limits(high=0)
 
     def data_received(self, data: bytes) -> None:
-        """Buffer what was received; the other side has to wait where nobody reads."""
+        """Buffer received data, and pause receiving while too much of it is unread."""
         self.unread += data
         if len(self.unread) > MAX_UNREAD_BYTES:
             self._transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> bool:
-        """Keep the connection open: the request may still be on its way."""
+        """Keep the connection open: the request may not be sent completely yet."""
         self.eof = True
         self._wake()
         return True
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not taken all."""
+        """Record that the kernel has not taken all written data."""
         self.unsent = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken all; this is called only after a write that succeeded."""
+        """Record that the kernel has taken all data; asyncio calls this only after a successful write."""
         self.unsent = False
         self._wake()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is broken, or was closed here."""
+        """Record that the connection broke, or was closed by this side."""
         self.mark_lost(str(exc or "closed"))
 
     def mark_lost(self, reason: str) -> None:
-        """Note that nothing more is sent or received; what was received before can still be read."""
+        """Record that nothing more is sent or received; data received before can still be read."""
         self.loss_reason = self.loss_reason or reason
         self._wake()
 
@@ -77,16 +79,23 @@
         await self._waiter
 
     async def drain(self) -> None:
-        """Wait until the kernel has taken all; raises `ConnectionBrokenError` where it never will."""
+        """Wait until the kernel has taken all written data.
+
+        Raises:
+            ConnectionBrokenError: The connection was lost before.
+        """
         while self.unsent and not self.loss_reason:
             await self._wait_for_change()
         if self.unsent:
             raise ConnectionBrokenError(self.loss_reason)
 
     async def read(self) -> bytes:
-        """Return what was received, at least a byte; nothing at the end of the stream.
+        """Return the received data, at least one byte, or nothing at the end of the stream.
+
+        Never waits once the connection is lost.
 
-        Never waits once the connection is lost.  Raises `ConnectionBrokenError` where it is lost and nothing is left.
+        Raises:
+            ConnectionBrokenError: The connection is lost, and all received data has been read.
         """
         while not (self.unread or self.eof or self.loss_reason):
             await self._wait_for_change()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to endpoints: what it reuses, closes and refuses."""
+"""The connection pool: which connections it reuses, which it closes, and when it refuses to open one."""
 
 from __future__ import annotations
 
@@ -20,62 +20,77 @@
 
 
 def with_endpoints(scenario: Callable[[ScriptedServer, ScriptedServer], Awaitable[None]]) -> None:
-    async def go() -> None:
+    """Run a scenario with two endpoints."""
+
+    async def run() -> None:
         first, second = ScriptedServer(), ScriptedServer()
         await first.listen()
         await second.listen()
         await asyncio.wait_for(scenario(first, second), 20.0)
 
-    asyncio.run(go())
+    asyncio.run(run())
 
 
-async def exchange(connection: Connection, endpoint: ScriptedServer) -> None:
+async def exchange(connection: Connection, endpoint: ScriptedServer) -> asyncio.StreamWriter:
+    """Exchange a request and a response on a connection, and return the endpoint's writer of the connection."""
     await connection.send("POST", "/", [])
-    endpoint.respond((await endpoint.requests.get())[3], http_answer("200"))
+    reader, writer = (await endpoint.requests.get())[3]
+    endpoint.respond((reader, writer), http_answer("200"))
     await connection.read_head()
     await connection.read_body()
+    return writer
+
+
+async def wait_until_not_reusable(connection: Connection) -> None:
+    while connection.is_reusable():
+        await asyncio.sleep(0.001)
 
 
 def test_acquire_returns_the_connection_that_was_released_last() -> None:
     async def scenario(endpoint: ScriptedServer, _: ScriptedServer) -> None:
         pool = ConnectionPool(60.0, 5.0, 8, Telemetry())
-        first_connection, second_connection = (
-            await pool.acquire("node", endpoint.address),
-            await pool.acquire("node", endpoint.address),
-        )
+        first_connection = await pool.acquire("n1", endpoint.address)
+        second_connection = await pool.acquire("n1", endpoint.address)
         await exchange(first_connection, endpoint)
         await exchange(second_connection, endpoint)
-        pool.release("node", first_connection)
-        pool.release("node", second_connection)
-        assert await pool.acquire("node", endpoint.address) is second_connection and pool.open_count == 2
+        pool.release("n1", first_connection)
+        pool.release("n1", second_connection)
+        assert await pool.acquire("n1", endpoint.address) is second_connection
+        assert pool.open_count == 2
 
     with_endpoints(scenario)
 
 
 def test_acquire_opens_a_new_connection_when_the_idle_one_is_too_old() -> None:
-    # A request that crosses the endpoint's own idle time-out would end as a reset.
+    # A request sent while the endpoint closes the connection, after its own idle timeout, would end in a reset.
     async def scenario(endpoint: ScriptedServer, _: ScriptedServer) -> None:
         pool = ConnectionPool(0.0, 5.0, 8, Telemetry())
-        first_connection = await pool.acquire("node", endpoint.address)
-        pool.release("node", first_connection)
-        assert await pool.acquire("node", endpoint.address) is not first_connection and pool.open_count == 1
+        first_connection = await pool.acquire("n1", endpoint.address)
+        pool.release("n1", first_connection)
+        assert await pool.acquire("n1", endpoint.address) is not first_connection
+        assert pool.open_count == 1
 
     with_endpoints(scenario)
 
 
 @pytest.mark.parametrize("pending_input", [http_answer("200"), b"HTTP/1.1 2", b""])
 def test_acquire_sees_input_of_an_idle_connection_that_only_the_kernel_holds(pending_input: bytes) -> None:
-    # A complete response that nobody asked for would be taken for the next request's, which was not delivered.
+    # An unsolicited complete response would be taken for that of the next request, whose message would then count as
+    # delivered.
     async def scenario() -> None:
         server = socket.create_server(("127.0.0.1", 0))
         address = f"127.0.0.1:{server.getsockname()[1]}"
         pool = ConnectionPool(60.0, 5.0, 8, Telemetry())
-        first_connection = await pool.acquire("node", address)
+        first_connection = await pool.acquire("n1", address)
         peer, _ = server.accept()
-        pool.release("node", first_connection)
-        peer.sendall(pending_input) if pending_input else peer.shutdown(socket.SHUT_WR)
-        assert first_connection.is_reusable(), "the loop has not looked since"
-        assert await pool.acquire("node", address) is not first_connection and pool.open_count == 1
+        pool.release("n1", first_connection)
+        if pending_input:
+            peer.sendall(pending_input)
+        else:
+            peer.shutdown(socket.SHUT_WR)
+        assert first_connection.is_reusable(), "the event loop has already read the input"
+        assert await pool.acquire("n1", address) is not first_connection
+        assert pool.open_count == 1
         peer.close()
         server.close()
 
@@ -86,17 +101,13 @@
 def test_acquire_opens_a_new_connection_when_the_endpoint_closed_the_idle_one() -> None:
     async def scenario(endpoint: ScriptedServer, _: ScriptedServer) -> None:
         pool = ConnectionPool(60.0, 5.0, 8, Telemetry())
-        first_connection = await pool.acquire("node", endpoint.address)
-        await first_connection.send("POST", "/", [])
-        streams = (await endpoint.requests.get())[3]
-        endpoint.respond(streams, http_answer("200"))
-        await first_connection.read_head()
-        await first_connection.read_body()
-        streams[1].close()
-        while first_connection.is_reusable():
-            await asyncio.sleep(0.001)
-        pool.release("node", first_connection)
-        assert await pool.acquire("node", endpoint.address) is not first_connection and pool.open_count == 1
+        first_connection = await pool.acquire("n1", endpoint.address)
+        writer = await exchange(first_connection, endpoint)
+        writer.close()
+        await wait_until_not_reusable(first_connection)
+        pool.release("n1", first_connection)
+        assert await pool.acquire("n1", endpoint.address) is not first_connection
+        assert pool.open_count == 1
 
     with_endpoints(scenario)
 
@@ -104,29 +115,27 @@
 def test_acquire_shares_no_connection_between_endpoints_at_one_address() -> None:
     async def scenario(endpoint: ScriptedServer, other: ScriptedServer) -> None:
         pool = ConnectionPool(60.0, 5.0, 8, Telemetry())
-        first_connection = await pool.acquire("node", endpoint.address)
-        pool.release("node", first_connection)
-        assert await pool.acquire("new", endpoint.address) is not first_connection
-        assert (await pool.acquire("node", other.address)).address == other.address, "it has moved"
+        first_connection = await pool.acquire("n1", endpoint.address)
+        pool.release("n1", first_connection)
+        assert await pool.acquire("n2", endpoint.address) is not first_connection
+        assert (await pool.acquire("n1", other.address)).address == other.address, (
+            "the endpoint has a new address"
+        )
 
     with_endpoints(scenario)
 
 
 def test_acquire_opens_a_new_connection_when_bytes_followed_the_last_response() -> None:
-    # They would be taken for the response to the next request.
+    # The bytes would be taken for the response to the next request.
     async def scenario(endpoint: ScriptedServer, _: ScriptedServer) -> None:
         pool = ConnectionPool(60.0, 5.0, 8, Telemetry())
-        first_connection = await pool.acquire("node", endpoint.address)
-        await first_connection.send("POST", "/", [])
-        streams = (await endpoint.requests.get())[3]
-        endpoint.respond(streams, http_answer("200"))
-        await first_connection.read_head()
-        await first_connection.read_body()
-        pool.release("node", first_connection)
-        streams[1].write(http_answer("200"))
-        while first_connection.is_reusable():
-            await asyncio.sleep(0.001)
-        assert await pool.acquire("node", endpoint.address) is not first_connection and pool.open_count == 1
+        first_connection = await pool.acquire("n1", endpoint.address)
+        writer = await exchange(first_connection, endpoint)
+        pool.release("n1", first_connection)
+        writer.write(http_answer("200"))
+        await wait_until_not_reusable(first_connection)
+        assert await pool.acquire("n1", endpoint.address) is not first_connection
+        assert pool.open_count == 1
 
     with_endpoints(scenario)
 
@@ -134,15 +143,15 @@
 def test_acquire_at_the_limit_closes_the_oldest_idle_connection_and_no_busy_one() -> None:
     async def scenario(endpoint: ScriptedServer, other: ScriptedServer) -> None:
         pool = ConnectionPool(60.0, 5.0, 2, Telemetry())
-        first_connection, second_connection = (
-            await pool.acquire("node", endpoint.address),
-            await pool.acquire("node", endpoint.address),
-        )
-        pool.release("node", first_connection)
-        assert (await pool.acquire("other", other.address)).address == other.address
-        assert pool.open_count == 2 and not first_connection.is_reusable() and second_connection.is_reusable()
+        first_connection = await pool.acquire("n1", endpoint.address)
+        second_connection = await pool.acquire("n1", endpoint.address)
+        pool.release("n1", first_connection)
+        assert (await pool.acquire("n2", other.address)).address == other.address
+        assert pool.open_count == 2
+        assert not first_connection.is_reusable()
+        assert second_connection.is_reusable()
         with pytest.raises(OSError, match="limits"):
-            await pool.acquire("node", endpoint.address)
+            await pool.acquire("n1", endpoint.address)
         assert pool.open_count == 2
 
     with_endpoints(scenario)
@@ -151,32 +160,33 @@
 def test_sweep_and_close_idle_close_idle_connections() -> None:
     async def scenario(endpoint: ScriptedServer, other: ScriptedServer) -> None:
         pool = ConnectionPool(0.0, 5.0, 8, Telemetry())
-        pool.release("node", await pool.acquire("node", endpoint.address))
+        pool.release("n1", await pool.acquire("n1", endpoint.address))
         sweep = asyncio.create_task(pool.sweep_idle())
         while pool.open_count:
             await asyncio.sleep(0.001)
         sweep.cancel()
         pool.idle_timeout_s = 60.0
-        pool.release("other", await pool.acquire("other", other.address))
-        pool.close_idle("other")
+        pool.release("n2", await pool.acquire("n2", other.address))
+        pool.close_idle("n2")
         assert pool.open_count == 0
 
     with_endpoints(scenario)
 
 
 def test_a_full_pool_is_no_evidence_against_an_endpoint() -> None:
-    """An attempt that finds no connection free in this process was never sent, whoever holds them.
+    """An attempt that gets no connection because the pool is full was never sent.
 
-    Attempts whose connecting hangs hold connections of the pool.  One that found none free ended as unreachable,
-    which is a failure of its own endpoint: the decision module takes a well one for dead where others hang.
+    Attempts that hang while connecting use up the pool.  An attempt to another endpoint that finds the pool full ends
+    as unreachable, which counts as a failure of that endpoint: the decision module takes a healthy endpoint for dead
+    while others hang.
     """
 
     async def scenario(endpoint: ScriptedServer, _: ScriptedServer) -> None:
         pool = ConnectionPool(60.0, 5.0, 1, Telemetry())
         transport = HttpTransport(pool, Telemetry())
-        await pool.acquire("hanging", endpoint.address)  # stands for one whose connecting hangs
+        await pool.acquire("hanging", endpoint.address)  # stands for an attempt that hangs while connecting
         message = Message("m1", "safe", 1, 0.0, b"x")
-        attempt = Attempt(message, "well", endpoint.address, 1000.0, lambda *_: True)
+        attempt = Attempt(message, "healthy", endpoint.address, 1000.0, lambda *_: True)
         assert (await transport.send(attempt)).outcome is Outcome.NOT_SENT
 
     with_endpoints(scenario)
