--- a/kestreltrack/fleet/__init__.py
+++ b/kestreltrack/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What senders do together.  Knows `ports` and `telemetry`, never `sender`; only `sender/assembly.py` wires it."""
+"""Coordination between senders.  Uses `ports` and `telemetry`, never `sender`; wired only by `sender/assembly.py`."""
--- a/kestreltrack/fleet/membership/failure_detector.py
+++ b/kestreltrack/fleet/membership/failure_detector.py
@@ -13,18 +13,18 @@
 from kestreltrack.fleet.membership.packet_sender import PacketSender
 from kestreltrack.fleet.membership.wire import Ack, Nack, Ping, PingRequest, Suspect
 
-# Members asked for an indirect probe (SWIM's k): at a packet loss of 10% a false alarm in 4% of the probes that a
-# direct answer misses, for three more packets.
+# Members asked for an indirect probe (SWIM's k). At a packet loss of 10%, 4% of the probes without a direct answer
+# raise a false alarm; the cost is three more packets.
 INDIRECT_PROBE_MEMBERS = 3
-# Part of the time that a helper has: after it the helper says that it still waits, early enough to arrive in time.
+# Fraction of a helper's time after which it sends a nack, so that the nack arrives before the probe ends.
 NACK_TIMEOUT_FRACTION = 0.8
-# Probes made for others at a time: memory is bounded whatever is requested.
+# Concurrent probes made for other members; bounds memory however many are requested.
 MAX_INDIRECT_PROBES = 64
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this member that waits for its answer."""
+    """A probe by this member that is waiting for its answer."""
 
     seq: int
     target: str
@@ -39,24 +39,24 @@
     """A probe made for another member."""
 
     origin_address: str
-    # Sequence number of the request, which the answer repeats.
+    # Sequence number of the request; the answer repeats it.
     origin_seq: int
-    # When a nack is due; none once it has been sent.
+    # When a nack is due; `None` once it has been sent.
     nack_at: float | None
     expires_at: float
 
     def next_due(self, now: float) -> float:
-        """Return when its nack is due or, after that, when it expires."""
+        """Return when its nack is due or, once that time has passed, when it expires."""
         if self.nack_at is not None and self.nack_at > now:
             return self.nack_at
         return self.expires_at
 
 
 class FailureDetector:
-    """The probes of one member."""
+    """Probes other members, directly and indirectly, and suspects those that do not answer."""
 
     def __init__(self, packets: PacketSender, health: LocalHealth) -> None:
-        """Begin without a probe."""
+        """Create a detector without outstanding probes."""
         self._packets = packets
         self._table = packets.table
         self._health = health
@@ -65,7 +65,7 @@
         self._indirect_probes: dict[int, IndirectProbe] = {}
 
     def reset(self) -> None:
-        """Forget all probes that wait for an answer."""
+        """Discard all outstanding probes."""
         self._probe = None
         self._indirect_probes = {}
 
@@ -77,13 +77,13 @@
         return times
 
     def _probe_deadline(self, probe: Probe) -> float:
-        """Return when the direct probe, or after it the indirect one, has had its time."""
+        """Return when the direct probe times out or, once indirect probes are requested, when these do."""
         if probe.indirect_sent:
             return probe.sent_at + self._health.probe_interval_ms()
         return probe.sent_at + self._health.probe_timeout_ms()
 
     def start_probe(self, now: float) -> None:
-        """Probe the next member of a shuffled round: each member is probed once in a round (SWIM, section 4.3)."""
+        """Probe the next member of a shuffled round, in which each member is probed once (SWIM, section 4.3)."""
         if self._probe is not None:
             return
         while self._probe_order or self._shuffle_probe_order():
@@ -92,19 +92,19 @@
                 continue
             name = target.info.name
             self._probe = Probe(self._packets.next_seq(), name, now)
-            # A suspected member is notified with the ping (Lifeguard's buddy system): it can refute at once.
+            # The ping tells a suspected member of the suspicion, so that it can refute it at once (Buddy System).
             suspicion = [target.to_update()] if target.suspicion else []
             self._packets.send(target.info.address, Ping(self._probe.seq, name), suspicion)
             return
 
     def _shuffle_probe_order(self) -> bool:
-        """Begin a new round; return whether there is any member to probe."""
+        """Start a new round; return whether there is any member to probe."""
         self._probe_order = list(self._table.active_members)
         self._packets.random.shuffle(self._probe_order)
         return bool(self._probe_order)
 
     def advance(self, now: float) -> None:
-        """Ask others for an indirect probe, or suspect the target, when their time has come."""
+        """Request indirect probes, suspect the target or send nacks, where these are due."""
         self._advance_probe(now)
         self._advance_indirect_probes(now)
 
@@ -125,8 +125,8 @@
 
     def _request_indirect_probes(self, probe: Probe, target: MemberRecord) -> None:
         probe.indirect_sent = True
-        drawn = self._packets.random_members(INDIRECT_PROBE_MEMBERS + 1)
-        others = [member for member in drawn if member.info.name != probe.target]
+        candidates = self._packets.random_members(INDIRECT_PROBE_MEMBERS + 1)
+        others = [member for member in candidates if member.info.name != probe.target]
         helpers = others[:INDIRECT_PROBE_MEMBERS]
         probe.helpers = {helper.info.name for helper in helpers}
         request = PingRequest(probe.seq, probe.target, target.info.address)
@@ -134,7 +134,7 @@
             self._packets.send(helper.info.address, request)
 
     def _suspect(self, now: float, probe: Probe, target: MemberRecord) -> None:
-        # Each helper that sent neither an answer nor a nack is evidence that this member itself is slow.
+        # A helper that sent neither an ack nor a nack is evidence that this member itself is slow.
         silent_helpers = len(probe.helpers - probe.nacked) if probe.helpers else 1
         self._health.adjust(silent_helpers)
         update = Suspect(probe.target, target.info.incarnation, self._packets.local_member.name)
@@ -150,7 +150,7 @@
                 self._packets.send(probe.origin_address, Nack(probe.origin_seq))
 
     def handle_ping_request(self, now: float, source: str, request: PingRequest) -> None:
-        """Probe a member for another one, unless it is this member or too many such probes are in flight."""
+        """Probe a member on behalf of another, unless it is this member or too many such probes are in flight."""
         if request.target == self._packets.local_member.name:
             return
         if len(self._indirect_probes) >= MAX_INDIRECT_PROBES:
@@ -163,7 +163,7 @@
         self._packets.send(request.target_address, Ping(seq, request.target))
 
     def handle_ack(self, sender_name: str, seq: int) -> None:
-        """Take an answer to a probe of this member, or pass it on to the member that asked for the probe."""
+        """Complete a probe of this member, or forward the ack to the member that requested the probe."""
         indirect = self._indirect_probes.pop(seq, None)
         if indirect is not None:
             self._packets.send(indirect.origin_address, Ack(indirect.origin_seq))
@@ -175,6 +175,6 @@
             self._health.adjust(-1)
 
     def handle_nack(self, sender_name: str, seq: int) -> None:
-        """Record that a helper is reachable although the target has not answered it."""
+        """Record that a helper is reachable although the target has not answered it yet."""
         if self._probe is not None and self._probe.seq == seq:
             self._probe.nacked.add(sender_name)
--- a/kestreltrack/fleet/membership/local_health.py
+++ b/kestreltrack/fleet/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Local health of this member: the timing of its probes, longer while it has reason to think itself slow.
+"""Local health of this member: lengthens its probe intervals and timeouts while it appears to be slow itself.
 
 Source: Lifeguard, LHA-Probe.
 """
@@ -7,13 +7,13 @@
 
 from dataclasses import dataclass
 
-# Lifeguard's S: intervals and timeouts grow up to nine times.
+# Lifeguard's S: intervals and timeouts grow at most ninefold.
 MAX_LOCAL_HEALTH_SCORE = 8
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeTiming:
-    """The interval between probes and the timeout of a direct answer; the published values are 1,000 and 500."""
+    """The interval between probes and the timeout of a direct answer; Lifeguard's values are 1,000 and 500."""
 
     probe_interval_ms: float = 1000.0
     probe_timeout_ms: float = 400.0
@@ -23,9 +23,9 @@
     """Lifeguard's local health multiplier, and the durations that it scales."""
 
     def __init__(self, timing: ProbeTiming) -> None:
-        """Begin as a healthy member."""
+        """Start as a healthy member."""
         self.timing = timing
-        # The multiplier less one: 0 while this member is healthy.
+        # The multiplier minus one; 0 while this member is healthy.
         self.score = 0
 
     def adjust(self, change: int) -> None:
@@ -41,5 +41,5 @@
         return self.timing.probe_interval_ms * (self.score + 1)
 
     def probe_timeout_ms(self) -> float:
-        """Return the time that a direct answer may take."""
+        """Return the timeout of a direct answer."""
         return self.timing.probe_timeout_ms * (self.score + 1)
--- a/kestreltrack/fleet/membership/member_count.py
+++ b/kestreltrack/fleet/membership/member_count.py
@@ -1,16 +1,18 @@
-"""How many senders share the limit of a destination, from a registry that may be unreachable, late or incomplete.
+"""Number of senders that share a destination's limit, from a registry that may be unreachable, late or incomplete.
 
-A sender uses one over this number of the limit. Too small a number is the danger: a partition empties the registry of
-senders that are running and go on sending; a sender that believed it would use their quota as well, at once. So
+A sender uses the limit divided by this number. A number that is too small is dangerous: during a partition the
+registry lacks senders that keep running and sending, and a sender that trusted it would use their quota as well.
+Therefore
 
-- senders are counted by name, and each one seen within the grace period counts: two that alternate are two;
-- a larger number takes effect at once: it only lowers the quota of this sender;
-- a smaller number takes effect only after a grace period of uninterrupted reads, and then the number falls by one
-  sender for each decrease interval, so that the quota never rises in a jump;
-- a failed read says nothing: the number stays, and the grace period begins again.
+- senders are counted by name, and each one seen within the grace period counts, so that two that appear alternately
+  count as two;
+- an increase takes effect immediately, as it only lowers the quota of this sender;
+- a decrease takes effect only after a grace period of uninterrupted reads, and then by one sender in each decrease
+  interval, so that the quota rises gradually;
+- a failed read leaves the number unchanged and restarts the grace period.
 
-While a partition lasts less than the grace period, the quotas of all senders together never exceed the limit,
-whatever each of them sees (`tests/test_member_count.py` shows it for any partitions, crashes and late reads).
+During a partition shorter than the grace period, the quotas of all senders together never exceed the limit, whatever
+each of them reads (`tests/test_member_count.py` checks this with random partitions, crashes and late reads).
 
 Times are milliseconds of a monotonic clock.
 """
@@ -21,10 +23,10 @@
 
 
 class MemberCount:
-    """The number of senders that is in effect."""
+    """The number of senders in effect."""
 
     def __init__(self, configured: int, grace_period_ms: float, decrease_interval_ms: float) -> None:
-        """Begin with the configured number, since the registry has not been read yet."""
+        """Start with the configured number, since the registry has not been read yet."""
         self.value = configured
         self.grace_period_ms = grace_period_ms
         self.decrease_interval_ms = decrease_interval_ms
@@ -38,12 +40,12 @@
         return self.value
 
     def record_members(self, now: float, names: Iterable[str]) -> int:
-        """Record the senders that the registry showed, and return the number in effect."""
+        """Record the senders read from the registry, and return the number in effect."""
         if self._uninterrupted_since is None:
             self._uninterrupted_since = now
         self._last_seen |= dict.fromkeys(names, now)
         grace_period_over = now - self._uninterrupted_since >= self.grace_period_ms
-        # Before that, a sender last seen before the interruption may have been hidden by it.
+        # Until then, a sender last seen before the interruption may be running and missing from the reads.
         if grace_period_over:
             self._forget_unseen(now)
         count = max(1, len(self._last_seen))
--- a/kestreltrack/fleet/membership/member_table.py
+++ b/kestreltrack/fleet/membership/member_table.py
@@ -1,8 +1,8 @@
-"""What a member knows of the others: states, incarnations and suspicions.  No I/O, no clock of its own.
+"""States, incarnations and suspicions of the other members, as known to one member.  No I/O, no clock of its own.
 
-The order of updates is SWIM's (section 4.2): of two updates about one member the one with the larger incarnation
-prevails; within one incarnation suspect overrides alive, and dead and left override both.  A suspicion ends by a
-larger incarnation, or by time: the more members confirm it, the sooner (Lifeguard, LHA-Suspicion).
+Updates are ordered as in SWIM (section 4.2): of two updates about one member, the larger incarnation prevails; within
+one incarnation, suspect overrides alive, and dead and left override both.  A suspicion ends with a larger incarnation
+or by timeout, which is shorter the more members confirm it (Lifeguard, LHA-Suspicion).
 """
 
 from __future__ import annotations
@@ -13,40 +13,40 @@
 
 from kestreltrack.fleet.membership.wire import Alive, Dead, Left, MemberUpdate, Suspect
 
-# Confirmations beyond the first report that bring a suspicion to its shortest timeout: Lifeguard's K.
+# Confirmations after the first report at which a suspicion has its shortest timeout: Lifeguard's K.
 SUSPICION_CONFIRMATIONS = 3
 # Shortest timeout of a suspicion, in probe intervals for each power of ten of members: Lifeguard's alpha.
 SUSPICION_MULTIPLIER = 4.0
 # Longest timeout of a suspicion, as a multiple of the shortest: Lifeguard's beta.
 SUSPICION_MAX_TIMEOUT_MULTIPLIER = 6.0
-# Members beyond this number are not recorded: memory is bounded, whatever is sent here.
+# Further members are not recorded; bounds memory whatever is received.
 MAX_MEMBERS = 4096
 
 
 class MemberState(Enum):
-    """State of a member; the values are those of the log, the status and the gauges."""
+    """State of a member; the values appear in the log, the status and the gauges."""
 
     ALIVE = "alive"
-    # It did not answer, and still counts as a member until the suspicion expires.
+    # Did not answer; still counts as an active member until the suspicion expires.
     SUSPECT = "suspect"
     DEAD = "gone"
-    # It announced that it leaves.
+    # Announced its leave.
     LEFT = "left"
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A member's suspicion: when it began, who reported it, and its timeouts."""
+    """The suspicion of a member: when it began, who reported it, and its timeouts."""
 
     started_at: float
     min_timeout_ms: float
     max_timeout_ms: float
-    # Reporters beyond the first that make the timeout the shortest.
+    # Reporters after the first at which the timeout is the shortest.
     needed_confirmations: int
     reporters: set[str] = field(default_factory=set)
 
     def expires_at(self) -> float:
-        """Return when it expires, given the reporters so far (Lifeguard, LHA-Suspicion)."""
+        """Return when the suspicion expires, given its reporters so far (Lifeguard, LHA-Suspicion)."""
         if self.needed_confirmations < 1:
             return self.started_at + self.min_timeout_ms
         confirmations = min(len(self.reporters) - 1, self.needed_confirmations)
@@ -55,7 +55,7 @@
         return self.started_at + max(self.min_timeout_ms, self.max_timeout_ms - timeout_range_ms * fraction)
 
     def confirm(self, reporter: str) -> bool:
-        """Add a reporter; return whether it was new and still shortens the timeout."""
+        """Add a reporter; return whether it is new and shortens the timeout."""
         if reporter in self.reporters or len(self.reporters) > self.needed_confirmations:
             return False
         self.reporters.add(reporter)
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """One member as it is known here."""
+    """What is known of one member."""
 
     info: Alive
     state: MemberState
@@ -74,11 +74,11 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it counts as a member: alive or suspect."""
+        """Whether the member counts as running: alive or suspect."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     def to_update(self) -> MemberUpdate:
-        """Return the update that describes its state."""
+        """Return an update that describes the state of the member."""
         info = self.info
         if self.state is MemberState.SUSPECT and self.suspicion:
             return Suspect(info.name, info.incarnation, min(self.suspicion.reporters))
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberStateChange:
-    """A change of a member's state and its cause, as the log has it."""
+    """A change of a member's state and its cause, as they are logged."""
 
     name: str
     state: MemberState
@@ -100,27 +100,27 @@
 
 
 def with_incarnation(info: Alive, incarnation: int) -> Alive:
-    """Return the same description of a member with another incarnation."""
+    """Return a copy of a member's description with another incarnation."""
     return Alive(
         info.name, info.address, incarnation, info.zone, info.region, info.version, info.process_start_ms
     )
 
 
 class MemberTable:
-    """All members but the local one."""
+    """All members except the local one."""
 
     def __init__(self, local_name: str, probe_interval_ms: float) -> None:
-        """Begin without members; the timeouts of suspicions are multiples of the probe interval."""
+        """Create an empty table; the timeouts of suspicions are multiples of the probe interval."""
         self.local_name = local_name
         self.probe_interval_ms = probe_interval_ms
         self.members: dict[str, MemberRecord] = {}
-        # Those of them that are alive or suspect.
+        # The members that are alive or suspect.
         self.active_members: dict[str, MemberRecord] = {}
         self.suspicions: dict[str, Suspicion] = {}
         self.changes: list[MemberStateChange] = []
-        # Updates about new members beyond `MAX_MEMBERS`.
+        # Updates about new members that were rejected because of `MAX_MEMBERS`.
         self.rejected_updates = 0
-        # Updates that give the name of a living member another address.
+        # Updates that were rejected because they give an alive member another address.
         self.address_conflicts = 0
 
     def member_count(self) -> int:
@@ -128,7 +128,7 @@
         return 1 + len(self.active_members)
 
     def apply_update(self, now: float, update: MemberUpdate) -> bool:
-        """Apply an update about another member; return whether it was new, and so is to be disseminated."""
+        """Apply an update about another member; return whether it is new and has to be disseminated."""
         if isinstance(update, Alive):
             return self._apply_alive(now, update)
         member = self.members.get(update.name)
@@ -136,17 +136,17 @@
             return False
         if isinstance(update, Suspect):
             return self._apply_suspect(now, member, update)
-        return self._apply_end(now, member, update)
+        return self._apply_inactive(now, member, update)
 
     def _apply_alive(self, now: float, info: Alive) -> bool:
         member = self.members.get(info.name)
         if member is None:
-            return self._add(now, info)
+            return self._add_member(now, info)
         if info.incarnation <= member.info.incarnation:
             return False
         if member.state is MemberState.ALIVE:
             if info.address != member.info.address:
-                # The first one keeps the name until it is suspected: alternating would serve neither.
+                # The first address keeps the name until the member is suspected, so that it does not alternate.
                 self.address_conflicts += 1
                 return False
             member.info = info
@@ -156,7 +156,7 @@
         self._set_state(now, member, MemberState.ALIVE, cause)
         return True
 
-    def _add(self, now: float, info: Alive) -> bool:
+    def _add_member(self, now: float, info: Alive) -> bool:
         if len(self.members) >= MAX_MEMBERS:
             self.rejected_updates += 1
             return False
@@ -172,7 +172,7 @@
                 return False
             if member.suspicion:
                 return member.suspicion.confirm(update.reported_by)
-        # With a later incarnation than the one that ended: another member has seen it alive, and suspects it.
+        # Also for an inactive member if the incarnation is larger: another member saw it alive and suspects it.
         self._raise_incarnation(member, update.incarnation)
         self._set_state(now, member, MemberState.SUSPECT, f"no answer to {update.reported_by}")
         suspicion = self._new_suspicion(now, update.reported_by)
@@ -190,15 +190,15 @@
         max_timeout_ms = SUSPICION_MAX_TIMEOUT_MULTIPLIER * min_timeout_ms
         return Suspicion(now, min_timeout_ms, max_timeout_ms, needed_confirmations, {reporter})
 
-    def _apply_end(self, now: float, member: MemberRecord, update: Dead | Left) -> bool:
+    def _apply_inactive(self, now: float, member: MemberRecord, update: Dead | Left) -> bool:
         if isinstance(update, Left):
             state = MemberState.LEFT
             cause = "left on purpose"
         else:
             state = MemberState.DEAD
             cause = f"told by {update.reported_by}"
-        already_ended = not member.is_active and update.incarnation == member.info.incarnation
-        if already_ended and (member.state is state or state is MemberState.DEAD):
+        already_inactive = not member.is_active and update.incarnation == member.info.incarnation
+        if already_inactive and (member.state is state or state is MemberState.DEAD):
             return False
         self._raise_incarnation(member, update.incarnation)
         self._set_state(now, member, state, cause)
@@ -221,7 +221,7 @@
         self.changes.append(MemberStateChange(member.info.name, state, cause, member.info.incarnation))
 
     def expire_suspicions(self, now: float) -> list[Dead]:
-        """Apply the suspicions that have expired, and return the updates to disseminate."""
+        """Mark the members whose suspicion has expired as dead, and return the updates to disseminate."""
         expired = list[Dead]()
         for name, suspicion in list(self.suspicions.items()):
             if now >= suspicion.expires_at():
@@ -232,16 +232,16 @@
         return expired
 
     def next_suspicion_expiry(self) -> float:
-        """Return when the next suspicion expires, infinity where there is none."""
+        """Return when the next suspicion expires; infinity if there is none."""
         return min((suspicion.expires_at() for suspicion in self.suspicions.values()), default=math.inf)
 
     def extend_suspicions(self, pause_ms: float) -> None:
-        """Extend all suspicions by a pause of this process: what it could not receive is no evidence."""
+        """Extend all suspicions by a pause of this process, which could not receive refutations meanwhile."""
         for suspicion in self.suspicions.values():
             suspicion.started_at += pause_ms
 
     def forget_inactive(self, before: float) -> None:
-        """Forget the members that ended before that time."""
+        """Remove the members that have been inactive since before a time."""
         forgotten = [
             name
             for name, member in self.members.items()
--- a/kestreltrack/fleet/membership/packet_sender.py
+++ b/kestreltrack/fleet/membership/packet_sender.py
@@ -1,4 +1,4 @@
-"""Packets of one member on their way out, each with as many pending updates as fit into its datagram."""
+"""Outgoing packets of one member, each with as many pending updates as fit into its datagram."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class PacketSender:
-    """What all parts of the protocol share: the local member, the outgoing datagrams and the random numbers."""
+    """State shared by all parts of the protocol: the local member, the outgoing datagrams and the random numbers."""
 
     def __init__(self, local_member: Alive, table: MemberTable, seed: int) -> None:
-        """Take the description of this member, its table of the others and the seed of all random choices."""
+        """Take the description of this member, the table of the other members and the seed of all random choices."""
         self.local_member = local_member
         self.table = table
         self.dissemination = DisseminationQueue()
@@ -36,7 +36,7 @@
         self._outgoing: list[OutgoingDatagram] = []
 
     def next_seq(self) -> int:
-        """Return the sequence number of a new probe."""
+        """Return the sequence number for a new probe."""
         self._seq += 1
         return self._seq
 
@@ -48,7 +48,7 @@
         return active if len(active) <= limit else self.random.sample(active, limit)
 
     def send(self, address: str, body: Body, first_updates: Iterable[MemberUpdate] = ()) -> None:
-        """Send a packet with as many pending updates as fit; `first_updates` go in front of them."""
+        """Send a packet with as many updates as fit: `first_updates`, then pending ones."""
         first = [ENCODE(update) for update in first_updates]
         pending = self.dissemination.pending()
         chosen = updates_that_fit(
@@ -63,7 +63,7 @@
         self._outgoing.append((address, encode_datagram(self.local_member.name, body, encoded_updates)))
 
     def take_outgoing(self) -> list[OutgoingDatagram]:
-        """Return the datagrams to send since the last call, and count them."""
+        """Return the datagrams queued since the last call, and count them as sent."""
         outgoing = self._outgoing
         self._outgoing = []
         self.counts["sent"] = self.counts.get("sent", 0) + len(outgoing)
--- a/kestreltrack/fleet/membership/service.py
+++ b/kestreltrack/fleet/membership/service.py
@@ -1,7 +1,7 @@
-"""Runs one member on a UDP socket: carries its datagrams, calls it in time, logs and counts what changes.
+"""Runs one member on a UDP socket: transfers its datagrams, drives its timers, logs changes and counts drops.
 
-The path of a message never waits for it.  A sender whose address is still in use by the process before it (an
-upgrade) joins once that process releases the address; until then the previous process is the member.
+Message delivery never waits for it.  During an upgrade the previous process may still use the address: the new one
+joins once it is released, and until then the previous process remains the member.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 from kestreltrack.ports import Clock
 from kestreltrack.telemetry import Telemetry
 
-# Between attempts to bind the socket.
+# Interval between attempts to bind the socket.
 BIND_RETRY_S = 0.1
-# The longest time between ticks: updates are sent every 0.2 s.
+# Upper bound on the time between ticks, below the gossip interval of 0.2 s.
 MAX_TICK_INTERVAL_S = 0.1
-# The shortest, so that a member that is always due cannot occupy the event loop.
+# Lower bound, so that a member whose next tick is always due cannot monopolise the event loop.
 MIN_TICK_INTERVAL_S = 0.001
-# A member of a fleet of 1,000 receives some 20 a second: more is a flood, and must not occupy the event loop.
+# A member of a fleet of 1,000 receives about 20 per second; the limit keeps a flood from monopolising the event loop.
 MAX_DATAGRAMS_PER_SECOND = 2000
-# Counts of the protocol that are not of dropped datagrams.
-NOT_DROPPED = ("sent", "paused")
+# Counters of the protocol that do not count dropped datagrams.
+NON_DROP_COUNTERS = ("sent", "paused")
 
 
 class DatagramTransport(Protocol):
-    """The part of a datagram transport that is used."""
+    """The part of `asyncio.DatagramTransport` that is used here."""
 
     def sendto(self, data: bytes, addr: tuple[str, int]) -> None:
         """Send a datagram to a host and port."""
 
     def is_closing(self) -> bool:
-        """Return whether it is closed."""
+        """Return whether the transport is closing or closed."""
 
     def close(self) -> None:
-        """Release the address."""
+        """Close the socket, which releases its address."""
 
 
 class DatagramRateLimit:
-    """A limit on datagrams in each second of the clock."""
+    """A limit on the datagrams in each second of the clock."""
 
     def __init__(self, max_per_second: int) -> None:
-        """Take the number of datagrams that each second may have."""
+        """Take the number of datagrams allowed in each second."""
         self._max_per_second = max_per_second
         self._second = 0
         self._count = 0
@@ -64,7 +64,7 @@
 
 
 class Membership(asyncio.DatagramProtocol):
-    """One member on a socket."""
+    """Runs one member on a UDP socket."""
 
     def __init__(
         self,
@@ -78,12 +78,12 @@
         """Describe the member.
 
         Args:
-            local_member: With the address that others send to; incarnation and start are set by `run`.
+            local_member: The member, with the address that others send to; `run` sets incarnation and start time.
             listen_address: The address that the socket is bound to.
             seeds: Addresses of members to join through.
-            timing: Interval and timeout of probes.
-            clock: Monotonic, in milliseconds.
-            telemetry: Log and counters.
+            timing: The interval and timeout of probes.
+            clock: Monotonic clock, in milliseconds.
+            telemetry: The log and the counters.
         """
         self.local_member = local_member
         self.listen_address = listen_address
@@ -91,7 +91,7 @@
         self.timing = timing
         self.clock = clock
         self.telemetry = telemetry
-        # None before the socket is bound.
+        # `None` until the socket is bound.
         self.swim: Swim | None = None
         self.on_user_message: Callable[[str, bytes], None] = lambda name, data: None
         self._configured_seeds = tuple(seeds)
@@ -102,12 +102,12 @@
     # Lifecycle -----------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Bind, join, and tick until closed or cancelled."""
+        """Bind the socket, join the fleet, and tick until closed or cancelled."""
         await self._bind()
         if self._transport is None:
             return
         swim = self._start()
-        # A member that ticked after it released its address would take all others to be dead.
+        # A member that ticked after its socket is closed would receive nothing and declare all others dead.
         while not self._closed:
             due_in_s = (swim.next_due() - self.clock()) / 1000.0
             await asyncio.sleep(max(MIN_TICK_INTERVAL_S, min(MAX_TICK_INTERVAL_S, due_in_s)))
@@ -115,7 +115,7 @@
                 self._transmit(swim.tick(self.clock()))
 
     async def _bind(self) -> None:
-        """Bind the socket, in as many attempts as it needs, unless closed before."""
+        """Bind the socket, retrying until it succeeds or the member is closed."""
         while self._transport is None and not self._closed:
             try:
                 self._transport = await self._open()
@@ -130,16 +130,16 @@
         return transport
 
     def _start(self) -> Swim:
-        """Join the fleet as a member that starts now."""
+        """Join the fleet with the current time as start time and incarnation."""
         start_ms = self.process_start_ms()
-        described = self.local_member
+        configured = self.local_member
         member = Alive(
-            described.name,
-            described.address,
+            configured.name,
+            configured.address,
             start_ms,
-            described.zone,
-            described.region,
-            described.version,
+            configured.zone,
+            configured.region,
+            configured.version,
             start_ms,
         )
         swim = Swim(member, self.timing, self.random_seed())
@@ -151,15 +151,15 @@
         return swim
 
     def process_start_ms(self) -> int:
-        """Return the Unix time in ms, which tells a process from the one before it."""
+        """Return the Unix time in ms, which distinguishes this process from the previous one of its name."""
         return int(time.time() * 1000)
 
     def random_seed(self) -> int:
-        """Return the seed of a random number generator."""
+        """Return a seed for a random number generator."""
         return int.from_bytes(os.urandom(8), "big")
 
     def close(self, announce_leave: bool) -> None:
-        """Release the address; announce that the member leaves unless another process of its name goes on."""
+        """Close the socket; `announce_leave` is false if another process continues under the same name."""
         self._closed = True
         if self.swim and announce_leave:
             self._transmit(self.swim.leave(self.clock()))
@@ -169,7 +169,7 @@
     # Datagrams -----------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take a datagram from the socket; count and drop those beyond the rate limit."""
+        """Handle a datagram from the socket; drop and count those beyond the rate limit."""
         now = self.clock()
         allowed = self._rate_limit.allows(now)
         if self.swim is None or not allowed:
@@ -178,28 +178,28 @@
         source = f"{addr[0]}:{addr[1]}"
         dropped_before = sum(self._dropped_counts(self.swim).values())
         self._transmit(self.swim.receive(now, source, data))
-        for name, carried in self.swim.take_user_messages():
-            self.on_user_message(name, carried)
+        for sender_name, user_data in self.swim.take_user_messages():
+            self.on_user_message(sender_name, user_data)
         dropped = self._dropped_counts(self.swim)
         if sum(dropped.values()) > dropped_before:
             self.telemetry.record_fault("fleet.dropped", source=source, counts=dropped)
 
     @staticmethod
     def _dropped_counts(swim: Swim) -> dict[str, int]:
-        return {name: count for name, count in swim.counts.items() if name not in NOT_DROPPED}
+        return {name: count for name, count in swim.counts.items() if name not in NON_DROP_COUNTERS}
 
     def error_received(self, exc: Exception) -> None:
-        """Count that an address was unreachable: the probes detect by themselves what follows from it."""
+        """Count an unreachable address; whether its member has failed is left to the probes."""
         self.telemetry.count("fleet.unreachable")
 
     def send_user_message(self, member_name: str, data: bytes) -> None:
-        """Send data of another part of the fleet to a member."""
+        """Send data of another fleet component to a member."""
         if self.swim and not self._closed:
             self._transmit(self.swim.send_user_message(member_name, data))
 
     def _transmit(self, datagrams: list[OutgoingDatagram]) -> None:
         for address, data in datagrams:
-            # A member may describe itself with an address that cannot be one.
+            # A member may announce an invalid address.
             try:
                 host, port = split_address(address)
                 if self._transport and not self._transport.is_closing():
@@ -223,7 +223,7 @@
     # Members -------------------------------------------------------------------------------------
 
     def set_discovered_seeds(self, addresses: Sequence[str]) -> None:
-        """Use the addresses of members that were found in etcd's registry, beside the configured seeds."""
+        """Use addresses of members found in the etcd registry, in addition to the configured seeds."""
         discovered = [
             address
             for address in addresses
@@ -234,13 +234,13 @@
             self.swim.replace_seeds(self.seeds)
 
     def member_names(self) -> list[str] | None:
-        """Return the names of all active members, the local one included; none while they are not reliably known."""
+        """Return the names of all active members, the local one included; `None` while the list may be incomplete."""
         if self.swim is None or not self.swim.caught_up or self.swim.has_left:
             return None
         return [info.name for info in self.swim.active_members()]
 
     def status(self) -> dict[str, Any]:
-        """Return the member list and this member's condition, for the operators."""
+        """Return the member list and the condition of this member, for operators."""
         return membership_status(self.swim, self.clock())
 
     def gauges(self) -> dict[str, int]:
--- a/kestreltrack/fleet/membership/state_sync.py
+++ b/kestreltrack/fleet/membership/state_sync.py
@@ -1,7 +1,7 @@
-"""Transfer of the complete member list, one page a datagram, in the order of names.
+"""Transfer of the complete member list, one page per datagram, ordered by name.
 
-A member that joins or was paused learns from it all that it has missed, and a periodic request of it repairs what
-dissemination has not delivered.
+A member that joins or was paused obtains all missed updates by it, and a periodic transfer repairs what dissemination
+has not delivered.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     remaining_bytes,
 )
 
-# Time for the answer to a request of a page; after it another member is asked.
+# Timeout of a page request; the page is then requested again, from a random member.
 STATE_PAGE_TIMEOUT_MS = 500.0
-# Stands for the longest name while the room in a page is reckoned.
+# Placeholder of maximal length in the calculation of the free bytes of a page.
 LONGEST_NAME = "x" * 64
 
 
 @dataclass(frozen=True, slots=True)
 class PageRequest:
-    """A page that was requested and has not come yet."""
+    """A request for a page that has not been received yet."""
 
     address: str
     after_name: str
@@ -36,38 +36,38 @@
 
 
 class StateSync:
-    """One member's requests of pages, and its answers to those of others."""
+    """Requests pages from other members, and answers their requests."""
 
     def __init__(self, packets: PacketSender, health: LocalHealth) -> None:
-        """Begin without a request."""
+        """Create it without an outstanding request."""
         self._packets = packets
         self._table = packets.table
         self._health = health
-        # Whether another member has sent its complete list, or there is none to ask.
+        # Whether the complete list of another member has been received, or there is no member to request it from.
         self.caught_up = False
         self._request: PageRequest | None = None
 
     @property
     def in_progress(self) -> bool:
-        """Whether a page was requested and has not come yet."""
+        """Whether a requested page has not been received yet."""
         return self._request is not None
 
     def reset(self, caught_up: bool) -> None:
-        """Forget the request, and set whether this member knows all that it can."""
+        """Discard the outstanding request, and set whether this member has caught up."""
         self._request = None
         self.caught_up = caught_up
 
     def next_due(self) -> list[float]:
-        """Return when the request expires, if there is one."""
+        """Return when the outstanding request expires, if there is one."""
         return [self._request.expires_at] if self._request else []
 
     def retry_expired(self, now: float, seeds: Sequence[str]) -> None:
-        """Request the same page again, of another member, once the request has expired."""
+        """Request the same page again, from a member chosen anew, if the request has expired."""
         if self._request is not None and now >= self._request.expires_at:
             self.request_page(now, self._request.after_name, seeds)
 
     def request_page(self, now: float, after_name: str, seeds: Sequence[str]) -> None:
-        """Request a page of a random member, or of a seed while there is no member."""
+        """Request a page from a random active member, or from a seed while no other member is known."""
         candidates = [member.info.address for member in self._packets.random_members(1)]
         if not candidates:
             candidates = self._packets.random.sample(seeds, len(seeds))[:1]
@@ -82,7 +82,7 @@
         return now + self._health.scaled(STATE_PAGE_TIMEOUT_MS)
 
     def handle_page(self, now: float, page: StatePage) -> None:
-        """Request the next page, or be caught up after the last; ignore a page that is late or not requested."""
+        """Request the next page, or finish after the last; ignore a page that is late or was not requested."""
         request = self._request
         if request is None or request.after_name != page.after_name:
             return
@@ -94,7 +94,7 @@
             self.caught_up = True
 
     def send_page(self, address: str, after_name: str) -> None:
-        """Send as many members as one datagram holds, in the order of names; this member is one of them."""
+        """Send a page of the members after a name, this one included, as many as one datagram holds."""
         local_name = self._packets.local_member.name
         names = sorted(name for name in (*self._table.members, local_name) if name > after_name)
         free_bytes = remaining_bytes(local_name, StatePage(after_name, LONGEST_NAME))
@@ -110,7 +110,7 @@
         self._packets.send_with_updates(address, StatePage(after_name, next_after_name), encoded_updates)
 
     def _updates_about(self, name: str) -> list[MemberUpdate]:
-        """Return all that there is to say about one member: where it is, then its state."""
+        """Return the updates that describe a member: its address if it is suspected, then its state."""
         member = self._table.members.get(name)
         if member is None:
             return [self._packets.local_member]
--- a/kestreltrack/fleet/membership/status.py
+++ b/kestreltrack/fleet/membership/status.py
@@ -1,4 +1,4 @@
-"""What operators see of membership: the member list with all states, and the number of members in each state."""
+"""Membership status for operators: the member list with all states, and the number of members in each state."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def membership_status(swim: Swim | None, now: float) -> dict[str, Any]:
-    """Return the answer to the operators' command, for JSON; `swim` is none before the socket is bound."""
+    """Return the JSON-compatible result of the operators' command; `swim` is `None` until the socket is bound."""
     if swim is None:
         return {"bound": False, "members": []}
     rows = [_member_row(swim.local_member, MemberState.ALIVE, 0.0, [])]
@@ -48,7 +48,7 @@
 
 
 def members_by_state(swim: Swim | None) -> dict[str, int]:
-    """Return the number of members in each state; the local member is alive."""
+    """Return the number of members in each state; the local member counts as alive."""
     counts = dict.fromkeys((state.value for state in MemberState), 0)
     counts[MemberState.ALIVE.value] = 1
     if swim is not None:
--- a/kestreltrack/fleet/membership/swim.py
+++ b/kestreltrack/fleet/membership/swim.py
@@ -1,13 +1,13 @@
 """One member of a fleet: SWIM with the Lifeguard extensions, without I/O.
 
-The caller passes in datagrams and the time, and sends the datagrams that are returned.  The load does not depend on
-the size of the fleet: one probe in each interval, three members that receive updates five times a second while there
-are any, and one transfer of the member list each half minute.  From Lifeguard: a member that has reason to think
-itself slow (neither an answer nor a `Nack`, a refuted suspicion) probes less often and waits longer; a suspicion is
+The caller passes in datagrams and the time, and sends the datagrams that are returned.  The number of datagrams does
+not depend on the size of the fleet: one probe per interval, updates to three members five times a second while there
+are any, and one transfer of the member list every half minute.  From Lifeguard: a member that appears to be slow
+itself (neither an `Ack` nor a `Nack`, or a suspicion to refute) probes less often and waits longer; a suspicion is
 shorter the more members confirm it; a suspected member is notified with the next ping.
 
-A member that was paused (SIGSTOP, a machine that sleeps) suspects nobody of not having answered meanwhile, and is not
-`caught_up` until another member has sent it the complete list.  Times are milliseconds of a monotonic clock.
+A member that was paused (SIGSTOP, or a suspended machine) does not suspect others of not answering meanwhile, and is
+not `caught_up` until another member has sent it the complete list.  Times are milliseconds of a monotonic clock.
 
 Sources: Das, Gupta, Motivala, "SWIM" (DSN 2002); Dadgar, Phillips, Currey, "Lifeguard" (2018).
 """
@@ -50,19 +50,19 @@
 
 __all__ = ["OutgoingDatagram", "ProbeTiming", "Swim"]
 
-# Between packets that only carry updates, while there are any.
+# Interval between gossip rounds while there are pending updates.
 GOSSIP_INTERVAL_MS = 200.0
-# Members that each of these rounds goes to.
+# Members that receive updates in a gossip round.
 GOSSIP_FANOUT = 3
-# Between transfers of the member list, on average: repairs what dissemination has not delivered.
+# Mean interval between transfers of the member list, which repair what dissemination has not delivered.
 STATE_SYNC_INTERVAL_MS = 30_000.0
-# Between attempts to reach a dead member, or a seed that is not a member: a partition heals.
+# Mean interval between attempts to reach a dead member or a seed that is not a member, which heal a partition.
 RECONNECT_INTERVAL_MS = 5_000.0
-# The same while this member has not caught up, as a fraction of it.
+# Fraction of that interval that is used until this member has caught up.
 RECONNECT_FRACTION_BEFORE_CAUGHT_UP = 0.2
-# Probe intervals without a tick after which this process must have been paused.
+# Probe intervals without a tick after which this process counts as having been paused.
 PAUSE_DETECTION_INTERVALS = 3.0
-# A member that ended is remembered, and tried now and then, for so long.
+# Time for which an inactive member is remembered; a dead one is pinged occasionally meanwhile.
 INACTIVE_MEMBER_RETENTION_MS = 3_600_000.0
 
 
@@ -70,7 +70,7 @@
     """One member of the fleet."""
 
     def __init__(self, local_member: Alive, timing: ProbeTiming, seed: int) -> None:
-        """Describe this member; its incarnation should be its time of start, larger in each later process."""
+        """Take the local member, whose incarnation should be its start time: it then grows with each process."""
         self.timing = timing
         self.table = MemberTable(local_member.name, timing.probe_interval_ms)
         self.has_left = False
@@ -97,12 +97,12 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether this member has received the complete list from another one, or there is none to ask."""
+        """Whether the complete list of another member has been received, or there is no member to request it from."""
         return self._state_sync.caught_up
 
     @property
     def local_health_score(self) -> int:
-        """Lifeguard's local health multiplier, less one."""
+        """Lifeguard's local health multiplier, minus one."""
         return self._health.score
 
     @property
@@ -111,18 +111,18 @@
         return self._packets.counts
 
     def active_members(self) -> list[Alive]:
-        """Return all active members, this one included, by name."""
+        """Return all active members, this one included, sorted by name."""
         others = (member.info for member in self.table.active_members.values())
         return sorted([self.local_member, *others], key=lambda info: info.name)
 
     def take_user_messages(self) -> list[tuple[str, bytes]]:
-        """Return the data for other parts of the fleet since the last call, with the names of its senders."""
+        """Return the names of the sending members and the data of user messages received since the last call."""
         messages = self._user_messages
         self._user_messages = []
         return messages
 
     def take_changes(self) -> list[MemberStateChange]:
-        """Return the changes of members' states since the last call."""
+        """Return the state changes of members since the last call."""
         changes = self.table.changes
         self.table.changes = []
         return changes
@@ -130,40 +130,40 @@
     # Time ----------------------------------------------------------------------------------------
 
     def join(self, now: float, seeds: Iterable[str]) -> list[OutgoingDatagram]:
-        """Join through any of these addresses; the address of this member is ignored."""
+        """Join the fleet through any of these seeds; the address of this member is ignored."""
         self._now = now
         self._seeds = self._without_local_address(seeds)
-        # Random, so that the members of a fleet that starts do not probe in one instant.
+        # Random, so that members that start together do not probe at the same time.
         self._probe_at = now + self._random.random() * self.timing.probe_interval_ms
         self._gossip_at = now + GOSSIP_INTERVAL_MS
         self._sync_at = now + STATE_SYNC_INTERVAL_MS * self._random.random()
         self._reconnect_at = now
-        # The first member of a fleet has nobody to learn from.
+        # Without seeds there is no member to request the list from.
         self._state_sync.caught_up = not self._seeds
         return self.tick(now)
 
     def replace_seeds(self, seeds: Iterable[str]) -> None:
-        """Use these seeds from now on; each that is not a member is tried now and then.
+        """Replace the seeds; each that is not a member is pinged occasionally.
 
-        The first seeds count as if they had been there from the beginning.
+        If there were no seeds and no other members before, this is the same as joining through the new seeds.
         """
-        nobody_known_before = self._nobody_known()
+        had_no_peers = self._has_no_peers()
         self._seeds = self._without_local_address(seeds)
-        if nobody_known_before and self._seeds:
+        if had_no_peers and self._seeds:
             self._state_sync.caught_up = False
             self._reconnect_at = self._now
-        elif self._nobody_known():
-            # None of the seeds before was a member.
+        elif self._has_no_peers():
+            # None of the previous seeds was a member.
             self._state_sync.caught_up = True
 
     def _without_local_address(self, seeds: Iterable[str]) -> list[str]:
         return [seed for seed in seeds if seed != self.local_member.address]
 
-    def _nobody_known(self) -> bool:
+    def _has_no_peers(self) -> bool:
         return not (self._seeds or self.table.active_members)
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """Do what is due; to be called at `next_due`, and harmless before that."""
+        """Perform all actions that are due; call it at `next_due`, an earlier call is harmless."""
         if not self.has_left:
             self._detect_pause(now)
         self._now = now
@@ -207,7 +207,7 @@
             self._packets.send(member.info.address, Gossip())
 
     def _reconnect(self, now: float) -> None:
-        """Ping a dead member, or a seed that is not a member: its answer heals a partition."""
+        """Ping a dead member, or a seed that is not a member; an answer heals a partition."""
         interval_fraction = 1.0 if self.caught_up else RECONNECT_FRACTION_BEFORE_CAUGHT_UP
         self._reconnect_at = now + RECONNECT_INTERVAL_MS * (0.5 + self._random.random()) * interval_fraction
         self.table.forget_inactive(now - INACTIVE_MEMBER_RETENTION_MS)
@@ -217,7 +217,7 @@
             member = self._member_at(address)
             updates: list[MemberUpdate] = [self.local_member]
             if member is not None:
-                # It learns what is believed of it, and can refute that.
+                # Tells the member its recorded state, so that it can refute it.
                 updates.append(member.to_update())
             self._packets.send(address, Ping(self._packets.next_seq(), ""), updates)
         if not self.caught_up and not self._state_sync.in_progress:
@@ -236,14 +236,14 @@
         )
 
     def _detect_pause(self, now: float) -> bool:
-        """Recover if this process was paused; return whether it was."""
+        """Recover from a pause of this process; return whether there was one."""
         pause_ms = now - self._now
         if pause_ms <= PAUSE_DETECTION_INTERVALS * self._health.probe_interval_ms():
             return False
         self._packets.count_pause()
         self.table.extend_suspicions(pause_ms)
         self._failure_detector.reset()
-        self._state_sync.reset(caught_up=self._nobody_known())
+        self._state_sync.reset(caught_up=self._has_no_peers())
         self._probe_at = self._now + pause_ms + self._health.probe_interval_ms()
         self._reconnect_at = self._now + pause_ms
         return True
@@ -251,10 +251,10 @@
     # Datagrams -----------------------------------------------------------------------------------
 
     def receive(self, now: float, source: str, data: bytes) -> list[OutgoingDatagram]:
-        """Take a datagram from an address; an invalid one is counted and changes nothing."""
+        """Handle a datagram from an address; an invalid one is counted and has no other effect."""
         if self.has_left:
             return []
-        # The datagram may have waited in the socket while this process was paused.
+        # The datagram may have been buffered by the socket while this process was paused.
         if self._detect_pause(now):
             self._now = now
         try:
@@ -271,7 +271,7 @@
         return self._packets.take_outgoing()
 
     def _is_foreign_name(self, sender_name: str, source: str) -> bool:
-        """Whether another process has this name already; the first one keeps it."""
+        """Return whether another process already has this name; the first one keeps it."""
         if sender_name == self.local_member.name:
             return True
         member = self.table.members.get(sender_name)
@@ -300,10 +300,10 @@
         updates = list[MemberUpdate]()
         sender = self.table.members.get(sender_name)
         if sender and not sender.is_active and sender.info.address == source:
-            # It is believed to have ended: it learns that, and can refute it.
+            # Tells the sender that it is recorded as inactive, so that it can refute it.
             updates.append(sender.to_update())
         if not ping.target:
-            # The sender does not know yet who answers at this address.
+            # The sender does not know which member has this address.
             updates.append(self.local_member)
         self._packets.send(source, Ack(ping.seq), updates)
 
@@ -312,10 +312,10 @@
         if sender and sender.is_active:
             self._user_messages.append((sender_name, message.data))
         else:
-            self._packets.count_dropped(DropReason.STRANGER)
+            self._packets.count_dropped(DropReason.UNKNOWN_SENDER)
 
     def leave(self, now: float) -> list[OutgoingDatagram]:
-        """Announce that this member leaves, so that the others need not detect it."""
+        """Announce that this member leaves, so that the others do not have to detect it."""
         if not self.has_left:
             self._now = now
             self.has_left = True
@@ -325,7 +325,7 @@
         return self._packets.take_outgoing()
 
     def send_user_message(self, member_name: str, data: bytes) -> list[OutgoingDatagram]:
-        """Send data of another part of the fleet to a member; nothing to one that is not active."""
+        """Send data of another fleet component to a member; nothing is sent to an inactive member."""
         member = self.table.members.get(member_name)
         if member and member.is_active and not self.has_left:
             self._packets.send(member.info.address, UserMessage(data))
@@ -348,13 +348,13 @@
             if other_address or update.incarnation <= local.incarnation:
                 return
         elif update.incarnation < local.incarnation:
-            # Refuted before, and its sender has not received that: the answer to it says so again.
+            # Already refuted, but the sender has not received that: the refutation is sent again.
             self._dissemination.enqueue(local)
             return
         self._refute(update)
 
     def _refute(self, update: MemberUpdate) -> None:
-        """Raise the incarnation: another member believes this one suspect or ended, or knows a later incarnation."""
+        """Raise the incarnation: another member records this one as suspect or inactive, or knows a larger one."""
         self._packets.local_member = with_incarnation(self.local_member, update.incarnation + 1)
         self._dissemination.enqueue(self.local_member)
         if isinstance(update, Suspect):
