--- a/kestreltrack/fleet/rollout/__init__.py
+++ b/kestreltrack/fleet/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Staged changes of the regions that destinations are assigned to (docs/agreed.md).
+"""Staged rollouts of changes to the regions that destinations are assigned to (docs/agreed.md).
 
-A change is adopted only with the votes of members and staff.
+A change is adopted only once members and staff have approved it by vote.
 """
--- a/kestreltrack/fleet/rollout/errors.py
+++ b/kestreltrack/fleet/rollout/errors.py
@@ -1,4 +1,4 @@
-"""Errors of rollouts; the text of each says what an operator can do."""
+"""Errors of rollouts; the message of each tells operators what to do."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class StaleProposalError(RolloutError):
-    """The base of a proposal is not in force any more; all votes for the proposal are void.
+    """The base of a proposal is no longer the version in force; all votes for the proposal are void.
 
     Attributes:
         base: The base of the proposal.
         committed: The version in force.
     """
 
-    remedy = "Look at what is in force now (fleet agreed show) and propose the change anew on that."
+    remedy = "Read the document in force (fleet agreed show) and propose the change again, based on it."
 
     def __init__(self, base: Version, committed: Version) -> None:
         super().__init__(f"the proposal is based on {base}, but {committed} is in force")
@@ -27,15 +27,15 @@
 
 
 class QuorumNotReachedError(RolloutError):
-    """Too few votes for a proposal; nothing has changed, and the proposal stays open.
+    """A proposal has too few votes; nothing has changed, and the proposal stays open.
 
     Attributes:
-        missing: One line for each quorum that is not reached.
+        missing: A line for each quorum that is not reached.
     """
 
     remedy = (
-        "Bring the voters named back, or settle what they object to; to go on without them for good, propose a "
-        "document that names other voters."
+        "Bring the voters named back online, or resolve their objections; to continue without them permanently, "
+        "propose a document that names other voters."
     )
 
     def __init__(self, missing: tuple[str, ...]) -> None:
--- a/kestreltrack/fleet/rollout/stages.py
+++ b/kestreltrack/fleet/rollout/stages.py
@@ -1,9 +1,8 @@
-"""The documents that lie between a base and a proposal, one for each stage of a rollout.  No I/O.
+"""Intermediate documents between a base and a proposal, one for each stage of a rollout.  No I/O.
 
-A stage is a set of destinations, not of senders: with some senders on the new assignments and some on the old ones a
-destination would have two homes.  Each stage is a document of its own, and is committed like any other, so the bound
-of the replicated configuration holds at every moment of a rollout.  To roll back is to propose one more document,
-with the old homes.
+A stage moves a set of destinations at all senders: if only some senders used the new assignments, a destination would
+have two homes.  Each stage is a separate document that is committed like any other, so the bound of the replicated
+configuration holds throughout a rollout.  A rollback is one more proposal, with the old homes.
 """
 
 from __future__ import annotations
@@ -13,28 +12,28 @@
 
 from kestreltrack.fleet.replicated_config.document import ConfigDocument, RegionAssignment
 
-# The hash that ranks destinations is below this.
+# Upper bound, exclusive, of the hash that ranks destinations.
 HASH_RANGE = 2.0**64
 
 
 def rollout_rank(destination_name: str, proposal_revision: int) -> float:
-    """Return the place of a destination in the order of a rollout, from 0 to 1; each proposal has another order."""
+    """Return the position of a destination in a rollout, from 0 to 1; the order differs between proposals."""
     return xxh3_64_intdigest(destination_name.encode(), seed=proposal_revision) / HASH_RANGE
 
 
 def stage_document(
     old: ConfigDocument, new: ConfigDocument, fraction: float, region: str = "", revision: int | None = None
 ) -> ConfigDocument:
-    """Return `old` with the assignments of some destinations as `new` has them.
+    """Return a document with the new assignments of some destinations and the old ones of all others.
 
-    All else in `new` (settings, lists) is in force from the first stage above 0.
+    Everything else in `new` (settings, lists) is part of each stage above 0.
 
     Args:
         old: The base of the proposal.
         new: The proposal.
-        fraction: The fraction of the destinations, from 0 (none of them) to 1 (all of them).
-        region: Only destinations whose new home this is; empty: any.
-        revision: The revision of the stage; `None`: the revision of the proposal.
+        fraction: The fraction of the destinations to move, from 0 (none) to 1 (all).
+        region: Move only destinations with this new home; empty for any.
+        revision: The revision of the stage; `None` for the revision of the proposal.
     """
     stage_revision = new.revision if revision is None else revision
     if fraction <= 0.0:
--- a/kestreltrack/fleet/rollout/votes.py
+++ b/kestreltrack/fleet/rollout/votes.py
@@ -1,8 +1,8 @@
-"""Who has to vote for a change of assignments before any sender adopts it, and which votes are missing.  No I/O.
+"""Quorums that have to approve a change of assignments before any sender adopts it.  No I/O.
 
-Voters are those of the base revision: a voter that is cut off still counts, so that no partition can shrink the
-electorate.  The votes are in the store, one key for each voter, and are counted in one transaction with the version
-in force.
+The electorate is that of the base revision: an unreachable voter still counts, so that a partition cannot shrink the
+electorate.  The store holds the votes, one key per voter; they are counted in one transaction with the version in
+force.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 class Electorate(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who may vote, by the base revision.
+    """Who may vote, as of the base revision.
 
     Attributes:
-        voters: The folder ids of the voters of each region.
-        staff: The names of the staff that may approve.
-        staff_needed: How many of them have to.
+        voters: The folder ids of each region's voters.
+        staff: The names of the staff who may approve.
+        staff_needed: How many of them have to approve.
     """
 
     voters: dict[Name, frozenset[Name]]
@@ -39,7 +39,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A document that is to be in force in place of its base.
+    """A document that is proposed to replace its base.
 
     Attributes:
         version: The version of the document.
@@ -55,13 +55,13 @@
 
 
 class Vote(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The vote of one voter, or of one of the staff, for one proposal on one base.
+    """The vote of a voter or of a member of staff on one proposal with one base.
 
     Attributes:
         version: The version of the proposal.
         base: The version of its base.
         digest: The content hash of the proposal.
-        against: The reasons to reject the proposal; none: the vote approves it.
+        against: The reasons to reject the proposal; empty if the vote approves it.
     """
 
     version: Version
@@ -71,14 +71,14 @@
 
 
 class LocalEvidence(msgspec.Struct, frozen=True):
-    """What a member observes about a change, beside the document.
+    """Local observations by which a member votes on a change.
 
     Attributes:
-        reachable: Whether the new home of each destination that moves is reachable from here.
-        capacity: The calls a second that the new home has for each destination, under its fraction of the limit.
-        demand: The calls a second that are requested now of each destination.
-        draining: The destinations that have endpoints that drain.
-        conflicts: The destinations whose list has conflicting edits.
+        reachable: Whether the new home of each moved destination is reachable from this member.
+        capacity: The calls per second that the new home can make to each destination, by its fraction of the limit.
+        demand: The calls per second that are currently requested of each destination.
+        draining: The destinations with draining endpoints.
+        conflicts: The destinations with conflicting edits in their list.
     """
 
     reachable: Mapping[str, bool]
@@ -101,10 +101,10 @@
 def build_proposal(old: ConfigDocument, new: ConfigDocument) -> Proposal:
     """Return the proposal of `new` in place of `old`.
 
-    The voters of each region that loses or gets a destination, or another fraction of a limit, have to approve.
+    The voters of each region that loses or gains a destination, or whose fraction of a limit changes, must approve.
     """
-    homes = moved_destinations(old, new).values()
-    regions = {region for old_and_new in homes for region in old_and_new if region}
+    moves = moved_destinations(old, new).values()
+    regions = {region for old_and_new_home in moves for region in old_and_new_home if region}
     for name in old.assignments.keys() | new.assignments.keys():
         before = _limit_fractions(old, name)
         after = _limit_fractions(new, name)
@@ -120,9 +120,9 @@
 
 
 def objections(old: ConfigDocument, new: ConfigDocument, evidence: LocalEvidence) -> tuple[str, ...]:
-    """Return the reasons of a member to reject a change, by its own evidence.
+    """Return the reasons for which a member rejects a change, by its own evidence.
 
-    A destination that it has no evidence of is a reason too.
+    Missing evidence on a destination counts against the change.
     """
     return tuple(_iter_objections(old, new, evidence))
 
@@ -134,27 +134,27 @@
         if home and not evidence.reachable.get(name, False):
             yield f"{home} is not reachable for {name} from here"
         elif home and capacity < demand:
-            yield f"{home} has room for {capacity:g} of {demand:g} calls a second of {name}"
+            yield f"{home} has capacity for {capacity:g} of {demand:g} calls per second of {name}"
         if name in evidence.draining:
-            yield f"endpoints of {name} drain"
+            yield f"endpoints of {name} are draining"
         if name in evidence.conflicts:
-            yield f"the list of {name} is in conflict"
+            yield f"the list of {name} has conflicting edits"
 
 
 def is_void(proposal: Proposal, vote: Vote) -> bool:
-    """Return whether a vote is for another document, or for another base."""
+    """Return whether a vote is for another document or another base."""
     return (vote.version, vote.base, vote.digest) != (proposal.version, proposal.base, proposal.digest)
 
 
 def require_quorums(
     proposal: Proposal, electorate: Electorate, votes: Mapping[str, Vote], committed: Version
 ) -> None:
-    """Check that the voters of each region concerned, and the staff, have approved a proposal.
+    """Check that the voters of each affected region, and the staff, have approved a proposal.
 
-    All arguments are read in one transaction of the store.
+    The arguments have to be read in one transaction of the store.
 
     Raises:
-        StaleProposalError: The base of the proposal is not in force any more.
+        StaleProposalError: The base of the proposal is no longer in force.
         QuorumNotReachedError: Votes are missing.
     """
     if proposal.base != committed:
@@ -167,19 +167,19 @@
         approvals = len(approving & voters)
         needed = majority(voters)
         if approvals < needed:
-            reasons = _missing_votes(voters - approving, valid_votes)
+            reasons = _describe_missing_votes(voters - approving, valid_votes)
             missing.append(f"{region} has {approvals} of {needed} votes needed{reasons}")
     approvals = len(approving & electorate.staff)
     needed = electorate.staff_needed
     if approvals < needed:
-        reasons = _missing_votes(electorate.staff - approving, valid_votes)
+        reasons = _describe_missing_votes(electorate.staff - approving, valid_votes)
         missing.append(f"staff have given {approvals} of {needed} approvals needed{reasons}")
     if missing:
         raise QuorumNotReachedError(tuple(missing))
 
 
-def _missing_votes(missing: frozenset[str], valid_votes: Mapping[str, Vote]) -> str:
-    """Return who has not approved, with the reasons against that were given."""
+def _describe_missing_votes(missing: frozenset[str], valid_votes: Mapping[str, Vote]) -> str:
+    """Return a list of those who have not approved, with their objections."""
     reasons = [
         f"{name}: {', '.join(valid_votes[name].against) if name in valid_votes else 'no vote'}"
         for name in sorted(missing)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts: no adoption without both quorums, and stages that are incompatible only at the destinations they move."""
+"""Rollouts: adoption requires all quorums, and a stage is incompatible only for the destinations that it moves."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from kestreltrack.fleet.rollout.stages import stage_document
 from kestreltrack.fleet.rollout.votes import Electorate, LocalEvidence, Vote, require_quorums
 
-ALL = frozenset({"a"})
-NAMES = [f"p{n}" for n in range(200)]
+ALLOWED = frozenset({"a"})
+DESTINATIONS = [f"p{n}" for n in range(200)]
 OLD = ConfigDocument(
     "rules",
     1,
     7,
-    destinations={name: DestinationRules(ALL, ALL) for name in NAMES},
-    assignments={name: RegionAssignment("north", "", {"north": 0.7, "south": 0.3}) for name in NAMES},
+    destinations={name: DestinationRules(ALLOWED, ALLOWED) for name in DESTINATIONS},
+    assignments={name: RegionAssignment("north", "", {"north": 0.7, "south": 0.3}) for name in DESTINATIONS},
 )
 NEW = msgspec.structs.replace(
     OLD,
     revision=8,
-    assignments={name: RegionAssignment("south", "", {"north": 0.3, "south": 0.7}) for name in NAMES},
+    assignments={name: RegionAssignment("south", "", {"north": 0.3, "south": 0.7}) for name in DESTINATIONS},
 )
 VOTERS = {
     "north": frozenset({"n1", "n2", "n3"}),
@@ -42,47 +42,47 @@
 ELECTORATE = Electorate(VOTERS, frozenset({"ann", "ben", "cat"}), 2)
 PROPOSAL = votes.build_proposal(OLD, NEW)
 APPROVAL = Vote(PROPOSAL.version, PROPOSAL.base, PROPOSAL.digest)
-ON_OLDER_BASE = msgspec.structs.replace(APPROVAL, base=Version(1, 6))
+APPROVAL_OF_OLDER_BASE = msgspec.structs.replace(APPROVAL, base=Version(1, 6))
 ENOUGH_VOTES = dict.fromkeys(("n1", "n2", "s1", "s3", "ann", "cat"), APPROVAL)
 
 
-def test_both_quorums_adopt_and_a_region_that_is_not_concerned_has_no_vote() -> None:
+def test_both_quorums_adopt_a_proposal_without_votes_of_an_unaffected_region() -> None:
     assert PROPOSAL.regions == {"north", "south"}
     require_quorums(PROPOSAL, ELECTORATE, ENOUGH_VOTES, OLD.version)
 
 
 @pytest.mark.parametrize("without", ENOUGH_VOTES)
-def test_without_any_one_vote_it_is_not_adopted_and_the_missing_vote_is_named(without: str) -> None:
+def test_a_proposal_is_not_adopted_without_any_one_vote_and_the_missing_vote_is_named(without: str) -> None:
     cast = {name: vote for name, vote in ENOUGH_VOTES.items() if name != without}
     with pytest.raises(QuorumNotReachedError, match=f"{without}: no vote.*Bring the voters named back"):
         require_quorums(PROPOSAL, ELECTORATE, cast, OLD.version)
 
 
-def test_a_vote_for_another_base_or_document_is_void_and_all_are_once_the_base_has_changed() -> None:
+def test_a_vote_for_another_base_or_document_is_void_as_are_all_once_the_base_has_changed() -> None:
     assignments = {**NEW.assignments, "p0": OLD.assignments["p0"]}
     other = msgspec.structs.replace(NEW, assignments=assignments)
     for vote in (
-        ON_OLDER_BASE,
+        APPROVAL_OF_OLDER_BASE,
         msgspec.structs.replace(APPROVAL, version=Version(1, 9)),
         msgspec.structs.replace(APPROVAL, digest=document.content_hash(other)),
         msgspec.structs.replace(APPROVAL, against=("south is full",)),
     ):
         with pytest.raises(QuorumNotReachedError, match=r"s1: (no vote|south is full)"):
             require_quorums(PROPOSAL, ELECTORATE, {**ENOUGH_VOTES, "s1": vote}, OLD.version)
-    with pytest.raises(StaleProposalError, match="propose the change anew"):
+    with pytest.raises(StaleProposalError, match="propose the change again"):
         require_quorums(PROPOSAL, ELECTORATE, ENOUGH_VOTES, NEW.version)
 
 
-everybody = sorted(frozenset().union(*VOTERS.values()) | ELECTORATE.staff | {"nobody"})
-some_votes = st.dictionaries(st.sampled_from(everybody), st.sampled_from([APPROVAL, ON_OLDER_BASE]))
+voter_names = sorted(frozenset().union(*VOTERS.values()) | ELECTORATE.staff | {"nobody"})
+any_votes = st.dictionaries(st.sampled_from(voter_names), st.sampled_from([APPROVAL, APPROVAL_OF_OLDER_BASE]))
 
 
-@given(some_votes, some_votes)
+@given(any_votes, any_votes)
 @settings(max_examples=300, deadline=None)
-def test_two_halves_that_see_different_votes_never_adopt_what_all_votes_together_do_not(
+def test_any_two_sets_of_votes_that_adopt_share_an_approving_voter_in_each_region(
     one: dict[str, Vote], other: dict[str, Vote]
 ) -> None:
-    """Of any two sets of votes that adopt, one voter at least of each region is in both."""
+    """The sides of a partition read different votes: neither may adopt what all votes together would not."""
 
     def adopts(cast: dict[str, Vote]) -> bool:
         try:
@@ -102,32 +102,37 @@
         assert len(approving & ELECTORATE.staff) >= 2
 
 
-def test_an_electorate_of_visible_voters_alone_and_votes_without_a_base_are_found(
+def test_counting_reachable_voters_only_or_ignoring_the_base_would_adopt_without_a_quorum(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    visible = {"n1": APPROVAL, "s1": APPROVAL, "ann": APPROVAL, "ben": APPROVAL}
-    visible_voters = {region: voters & visible.keys() for region, voters in VOTERS.items()}
-    require_quorums(PROPOSAL, Electorate(visible_voters, ELECTORATE.staff, 2), visible, OLD.version)
+    reachable = {"n1": APPROVAL, "s1": APPROVAL, "ann": APPROVAL, "ben": APPROVAL}
+    reachable_voters = {region: voters & reachable.keys() for region, voters in VOTERS.items()}
+    require_quorums(PROPOSAL, Electorate(reachable_voters, ELECTORATE.staff, 2), reachable, OLD.version)
     with pytest.raises(QuorumNotReachedError):
-        require_quorums(PROPOSAL, ELECTORATE, visible, OLD.version)
-    stale = dict.fromkeys(ENOUGH_VOTES, ON_OLDER_BASE)
+        require_quorums(PROPOSAL, ELECTORATE, reachable, OLD.version)
+    stale = dict.fromkeys(ENOUGH_VOTES, APPROVAL_OF_OLDER_BASE)
     with pytest.raises(QuorumNotReachedError):
         require_quorums(PROPOSAL, ELECTORATE, stale, OLD.version)
     monkeypatch.setattr(votes, "is_void", lambda proposal, vote: vote.version != proposal.version)
     require_quorums(PROPOSAL, ELECTORATE, stale, OLD.version)
 
 
-NO_OBJECTION = LocalEvidence(dict.fromkeys(NAMES, True), dict.fromkeys(NAMES, 5.0), dict.fromkeys(NAMES, 4.0))
+NO_OBJECTION = LocalEvidence(
+    dict.fromkeys(DESTINATIONS, True), dict.fromkeys(DESTINATIONS, 5.0), dict.fromkeys(DESTINATIONS, 4.0)
+)
 
 
 @pytest.mark.parametrize(
     ("change", "objection"),
     [
         ({}, None),
-        ({"reachable": dict.fromkeys(NAMES[1:], True)}, "south is not reachable for p0 from here"),
-        ({"capacity": dict.fromkeys(NAMES[1:], 5.0)}, "south has room for 0 of 4 calls a second of p0"),
-        ({"draining": frozenset({"p0"})}, "endpoints of p0 drain"),
-        ({"conflicts": frozenset({"p0"})}, "the list of p0 is in conflict"),
+        ({"reachable": dict.fromkeys(DESTINATIONS[1:], True)}, "south is not reachable for p0 from here"),
+        (
+            {"capacity": dict.fromkeys(DESTINATIONS[1:], 5.0)},
+            "south has capacity for 0 of 4 calls per second of p0",
+        ),
+        ({"draining": frozenset({"p0"})}, "endpoints of p0 are draining"),
+        ({"conflicts": frozenset({"p0"})}, "the list of p0 has conflicting edits"),
     ],
 )
 def test_a_member_votes_by_its_own_evidence(change: dict[str, object], objection: str | None) -> None:
@@ -136,16 +141,18 @@
 
 
 def test_each_stage_is_incompatible_only_where_it_moves_and_the_last_is_the_proposal() -> None:
-    before, moved = OLD, set[str]()
+    before = OLD
+    moved = set[str]()
     for number, fraction in enumerate((0.05, 0.25, 0.6, 1.0), 1):
         stage = stage_document(OLD, NEW, fraction, revision=7 + number)
         document.validate_document(stage)
         in_south = {name for name, assignment in stage.assignments.items() if assignment.home == "south"}
         assert moved < in_south, "what has moved stays there"
-        assert abs(len(in_south) / len(NAMES) - fraction) < 0.1
+        assert abs(len(in_south) / len(DESTINATIONS) - fraction) < 0.1
         keys = incompatible_keys(before, stage)
         assert {key.split(".")[1] for key in keys} == in_south - moved
-        before, moved = stage, in_south
+        before = stage
+        moved = in_south
     assert document.content_hash(before) == document.content_hash(NEW)
     rolled_back = stage_document(OLD, NEW, 0.0, revision=12)
     assert rolled_back.version > before.version
