--- a/kestreltrack/fleet/reconcile/__init__.py
+++ b/kestreltrack/fleet/reconcile/__init__.py
@@ -1,4 +1,4 @@
-"""Lists of destinations that staff of several regions edit at any time, also while regions are cut off.
+"""Replicated lists of destinations that staff of several regions can edit at any time, also during partitions.
 
-All copies become equal again once the regions can reach each other (docs/agreed.md).
+All replicas converge once the regions can reach each other again (docs/agreed.md).
 """
--- a/kestreltrack/fleet/reconcile/digests.py
+++ b/kestreltrack/fleet/reconcile/digests.py
@@ -1,7 +1,8 @@
-"""Digests over ranges of hashes, kept up to date with each change: what two replicas compare.  No I/O.
+"""Incrementally updated digests over ranges of key hashes, by which two replicas compare their entries.  No I/O.
 
-A range is named by the first hexadecimal digits of the hashes of its keys.  Its digest is the exclusive or of the
-hashes of all entries in it, so that a change costs one step a level, whatever the length of the list.
+A range is identified by a prefix, the first hexadecimal digits of the hashes of its keys.  Its digest is the
+exclusive or of the hashes of all entries in it, so that a change costs one step per level, whatever the length of the
+list.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 from kestreltrack.fleet.reconcile.entries import ENCODE, Entry, Key
 
-# 65,536 ranges at the lowest level: a list of a million entries has about 15 in each of them.
+# 65,536 ranges at the lowest level: about 15 entries per range for a list of a million entries.
 TREE_DEPTH = 4
 HEX_DIGITS = "0123456789abcdef"
 
 
 def range_prefix(key: Key) -> str:
-    """Return the lowest range that a key is in."""
+    """Return the prefix of the lowest-level range that contains a key."""
     return xxh3_64_hexdigest(ENCODE(key))[:TREE_DEPTH]
 
 
@@ -28,44 +29,44 @@
 
 
 class DigestTree:
-    """The digests of all ranges of one replica's entries."""
+    """The digests of all ranges of the entries of one replica."""
 
     def __init__(self) -> None:
-        self._digest: dict[str, int] = {}
-        self._count: dict[str, int] = {}
-        # By lowest range.
+        self._digests: dict[str, int] = {}
+        self._counts: dict[str, int] = {}
+        # By the prefix of the lowest-level range.
         self._entry_hashes: dict[str, dict[Key, int]] = {}
 
     def update(self, key: Key, entry: Entry | None) -> None:
         """Replace the entry of a key; `None` removes it."""
-        lowest_range = range_prefix(key)
-        hashes = self._entry_hashes.setdefault(lowest_range, {})
+        leaf_prefix = range_prefix(key)
+        hashes = self._entry_hashes.setdefault(leaf_prefix, {})
         old_count = len(hashes)
         old_hash = hashes.pop(key, None)
         new_hash = None if entry is None else entry_hash(entry)
         if new_hash is not None:
             hashes[key] = new_hash
         if not hashes:
-            del self._entry_hashes[lowest_range]
+            del self._entry_hashes[leaf_prefix]
         digest_change = (old_hash or 0) ^ (new_hash or 0)
         count_change = len(hashes) - old_count
         for level in range(TREE_DEPTH + 1):
-            prefix = lowest_range[:level]
-            self._digest[prefix] = self._digest.get(prefix, 0) ^ digest_change
-            self._count[prefix] = self._count.get(prefix, 0) + count_change
-            if not self._count[prefix]:
-                del self._digest[prefix], self._count[prefix]
+            prefix = leaf_prefix[:level]
+            self._digests[prefix] = self._digests.get(prefix, 0) ^ digest_change
+            self._counts[prefix] = self._counts.get(prefix, 0) + count_change
+            if not self._counts[prefix]:
+                del self._digests[prefix], self._counts[prefix]
 
     def digest(self, prefix: str) -> int:
         """Return the digest of a range."""
-        return self._digest.get(prefix, 0)
+        return self._digests.get(prefix, 0)
 
     def count(self, prefix: str) -> int:
-        """Return how many entries are in a range."""
-        return self._count.get(prefix, 0)
+        """Return the number of entries in a range."""
+        return self._counts.get(prefix, 0)
 
     def children(self, prefix: str) -> list[int]:
-        """Return the digests of the sixteen parts of a range."""
+        """Return the digests of the sixteen child ranges of a range."""
         return [self.digest(prefix + digit) for digit in HEX_DIGITS]
 
     def entry_hashes(self, prefix: str) -> Iterator[tuple[Key, int]]:
--- a/kestreltrack/fleet/reconcile/entries.py
+++ b/kestreltrack/fleet/reconcile/entries.py
@@ -1,10 +1,10 @@
-"""One key of a list: the edits that hold, by whom, and which edits came before.  No I/O.
+"""Entries of a list: the current edits of a key, and the edits that they have replaced.  No I/O.
 
 The list is a delta-state replicated map (Almeida, Shoker and Baquero, "Delta state replicated data types", 2018) of
 multi-value registers: each key holds its *siblings* under dotted version vectors (Preguiça, Baquero and others,
 "Dotted version vectors", 2012).  A *dot* is one edit: the replica that made it, and its number there.  The *context*
-of a key holds the newest dot of each replica that was ever made on it; a dot within the context that is no sibling
-has been replaced.  The join of two states of a key is commutative, associative and idempotent.
+of a key holds the newest dot of each replica that has ever edited it; a dot that the context covers and that is no
+sibling has been replaced.  The join of two states of a key is commutative, associative and idempotent.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from msgspec import Meta
 
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
-# The id of a replica, and the number of its edit.
+# The id of a replica, and the sequence number of its edit.
 Dot = tuple[Count, Count]
-# By replica id: all its edits up to this number.
+# By replica id, the sequence number up to which all its edits are covered.
 VersionVector = dict[Count, Count]
 
-# A bound on the size of an entry: fewer members than this edit one key while they are cut off from each other.
+# Bounds the size of an entry: fewer members than this edit one key while they are partitioned from each other.
 MAX_SIBLINGS = 16
 Text = Annotated[str, Meta(max_length=64)]
 
-# Fields of a destination; `ENROLLED_PREFIX` is followed by a class and a tenant.
+# Prefix of the field of an enrolment; a class and a tenant follow.
 ENROLLED_PREFIX = "enrolled/"
 
 
@@ -37,14 +37,14 @@
 
 
 class Sibling(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """One edit that no later one has replaced.
+    """An edit that no later one has replaced.
 
     Attributes:
         dot: The edit.
-        value: The value that it sets; an empty one takes back the value before.
-        author: Who made it; for staff alone, nothing is decided by it.
-        edited_at_s: The Unix time of the edit in seconds; for staff alone, nothing is decided by it.
-        stable_ancestor: The newest edit before it that every member had, and its value.
+        value: The new value; an empty one withdraws the previous value.
+        author: Who made the edit; shown to staff, and not used in any decision.
+        edited_at_s: The Unix time of the edit in seconds; shown to staff, and not used in any decision.
+        stable_ancestor: The newest earlier edit that every member had received, and its value.
     """
 
     dot: Dot
@@ -55,7 +55,7 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """All that is held of one key; siblings and context are sorted, so that equal entries have equal bytes."""
+    """The state of one key; siblings and context are sorted, so that equal entries have equal encodings."""
 
     key: Key
     siblings: Annotated[tuple[Sibling, ...], Meta(max_length=MAX_SIBLINGS)]
@@ -76,26 +76,29 @@
     return all(contains_dot(dot, vector) for dot in context)
 
 
-def merge_vectors(one: Mapping[int, int], other: Mapping[int, int]) -> VersionVector:
-    """Return the larger number of each replica."""
-    return {replica: max(one.get(replica, 0), other.get(replica, 0)) for replica in one.keys() | other.keys()}
+def merge_vectors(first: Mapping[int, int], second: Mapping[int, int]) -> VersionVector:
+    """Return the vector with the larger number of each replica."""
+    return {
+        replica: max(first.get(replica, 0), second.get(replica, 0))
+        for replica in first.keys() | second.keys()
+    }
 
 
-def merge_contexts(one: Mapping[int, int], other: Mapping[int, int]) -> tuple[Dot, ...]:
+def merge_contexts(first: Mapping[int, int], second: Mapping[int, int]) -> tuple[Dot, ...]:
     """Return the context that covers both."""
-    return tuple(sorted(merge_vectors(one, other).items()))
+    return tuple(sorted(merge_vectors(first, second).items()))
 
 
 def join(local: Entry | None, remote: Entry, is_known: Callable[[Dot], bool]) -> Entry | None:
     """Return the join of two states of a key.
 
     Args:
-        local: The state here; `None` where the key is not held.
+        local: The local state; `None` if there is no entry of the key.
         remote: The state of another member.
-        is_known: Returns whether a dot was received here before, whatever has become of it.
+        is_known: Returns whether a dot was received before, even if it has been replaced or dropped since.
 
     Returns:
-        The join; `None` where all of `remote` is known and the key is not held here: it was dropped.
+        The join; `None` if there is no local entry and all dots of `remote` are known: the entry was dropped.
     """
     local_context = dict(local.context) if local else {}
     remote_context = dict(remote.context)
@@ -117,9 +120,9 @@
 
 
 def is_tombstone(entry: Entry) -> bool:
-    """Return whether an entry sets no value any more.
+    """Return whether an entry no longer sets a value.
 
-    Of concurrent edits a withdrawal wins against an enrolment, and a pause against a resumption.
+    Among concurrent edits, a withdrawal wins over an enrolment, and a pause over a resumption.
     """
     is_empty = [not sibling.value for sibling in entry.siblings]
     if entry.key.field.startswith(ENROLLED_PREFIX):
--- a/kestreltrack/fleet/reconcile/errors.py
+++ b/kestreltrack/fleet/reconcile/errors.py
@@ -1,4 +1,4 @@
-"""Errors of reconciled lists; the text of each says what an operator can do."""
+"""Errors of replicated lists; the message of each tells operators what to do."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class ReconcileError(ReplicatedConfigError):
-    """A copy of the list did not take something, and is as it was before."""
+    """A replica of the list rejected an input, and has not changed."""
 
 
 class EditRejectedError(ReconcileError):
-    """An edit does not fit the bounds that every member checks.
+    """An edit exceeds the limits that every member enforces.
 
     Attributes:
-        subject: The field and the destination that the edit is of.
-        reason: Which bound it breaks.
+        subject: The field and the destination that the edit sets.
+        reason: The limit that the edit exceeds.
     """
 
-    remedy = "Repeat the edit within that bound; the list was not changed."
+    remedy = "Repeat the edit within this limit; the list has not changed."
 
     def __init__(self, subject: str, reason: str) -> None:
         super().__init__(f"the edit of {subject} was rejected: {reason}")
@@ -26,13 +26,13 @@
 
 
 class InvalidReplicaStateError(ReconcileError):
-    """The stored state of a member's copy cannot be decoded.
+    """The stored state of a replica cannot be decoded.
 
     Attributes:
-        reason: What is wrong with it.
+        reason: Why it cannot be decoded.
     """
 
-    remedy = "Take the file away: the copy is then read anew from the other members."
+    remedy = "Remove the file: the copy is then fetched again from the other members."
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"the stored copy of the list cannot be read: {reason}")
--- a/kestreltrack/fleet/reconcile/replica.py
+++ b/kestreltrack/fleet/reconcile/replica.py
@@ -1,18 +1,17 @@
-"""One member's copy of the list: its edits, and the messages by which all copies become equal.  No I/O.
+"""One member's replica of the list: edits, and the messages by which all replicas converge.  No I/O.
 
 **Messages.**  Each call returns datagrams to send.  `RootDigest` carries the digest of all entries.  A member that
-has another one responds with the digests of the sixteen parts, and so on down into the parts that differ; of a part
-with few entries the hashes of all are sent (`LeafHashes`), and then only the entries that one of the two lacks.  So
-the cost grows with the difference.  Any message may be lost, late, repeated or out of order: the next `RootDigest`
-begins anew, and no state is held for another member.  Edits are sent at once too.
+has another one responds with the digests of the sixteen child ranges, and so on recursively for those that differ.
+For a range with few entries the hashes of all are sent (`LeafHashes`), and then only the entries that one of the two
+lacks, so the cost grows with the difference.  Messages may be lost, delayed, duplicated or reordered: the next
+`RootDigest` starts over, and no state is kept per comparison.  Edits are also sent immediately.
 
 **Vectors.**  `Replica.vector` covers the edits whose effect is in the entries.  It grows by the member's own edits,
-and by another member's vector where both hold the same entries.  The id of a replica is drawn at its first edit after
-each start, whatever is on disk: an emptied, restored or copied folder can never give out a dot twice.
+and by the vector of another member that holds the same entries.  The id of a replica is generated at its first edit
+after each start, whatever is on disk, so that an emptied, restored or copied folder cannot reuse a dot.
 
-**Tombstones.**  A key without a value is dropped once the vector of every member covers it (causal stability): no
-member can hold what it replaced any more, except in a late datagram or in a restored folder.  Those are answered with
-`Tombstone`.
+**Tombstones.**  A key without a value is dropped once the vector of every member covers it (causal stability).  What
+it replaced can then only reappear from a late datagram or a restored folder, which are answered with `Tombstone`.
 """
 
 from __future__ import annotations
@@ -53,9 +52,9 @@
 )
 from kestreltrack.fleet.reconcile.resolution import Conflict, ResolvedDestination, find_conflict, resolve
 
-# A bound on the datagrams in response to one: the rest follows upon the next `RootDigest`.
+# Bounds the datagrams in response to one; the rest follows after the next `RootDigest`.
 MAX_RESPONSE_DATAGRAMS = 64
-# The bytes of a `RootDigest` beside its vectors, at the most.
+# Maximal size of a `RootDigest` without its vectors.
 ROOT_HEADER_BYTES = 32
 
 
@@ -68,11 +67,11 @@
 
 
 class Replica:
-    """One member's copy of the list.
+    """One member's replica of the list.
 
     Attributes:
         name: The name of the member.
-        members: The names of all members that hold a copy, also of those that are cut off or down.
+        members: The names of all members with a replica, also of those that are unreachable or down.
         entries: The entries by key.
         digests: The digests of the entries.
         vector: The edits whose effect is in the entries.
@@ -89,25 +88,25 @@
         self.vector: VersionVector = {}
         self.member_vectors: dict[str, VersionVector] = {}
         self._generate_id = generate_id or _random_id
-        # Drawn at the first edit.
+        # Generated at the first edit; 0 before.
         self._replica_id = 0
-        # The keys without a value.
+        # The keys of the tombstones in `entries`.
         self._tombstones: set[Key] = set()
-        self._root_count = 0
+        self._comparison_count = 0
 
-    # Staff
+    # Edits and their result
 
     def edit(self, key: Key, value: str, author: str, edited_at_s: int) -> list[bytes]:
-        """Replace all values of a key that are held here, and return the datagrams for all members.
+        """Replace all local values of a key, and return the datagrams to send to all members.
 
         Args:
             key: The field and the destination.
-            value: The new value; an empty one takes back the values before.
+            value: The new value; an empty one withdraws the previous values.
             author: Who makes the edit.
             edited_at_s: The Unix time in seconds.
 
         Raises:
-            EditRejectedError: The edit does not fit the bounds that every member checks.
+            EditRejectedError: The edit exceeds the limits that every member enforces.
         """
         self._replica_id = self._replica_id or self._generate_id()
         number = self.vector.get(self._replica_id, 0) + 1
@@ -125,7 +124,7 @@
         return pack_datagrams([EntryUpdate(entry)])
 
     def _stable_ancestor(self, before: Entry | None) -> tuple[Dot, str] | None:
-        """Return the newest edit that every member had: the current one, or else its siblings' common ancestor."""
+        """Return the newest edit that every member has: the current one, or the common ancestor of all siblings."""
         if before is None:
             return None
         if len(before.siblings) == 1:
@@ -136,39 +135,39 @@
         return next(iter(ancestors)) if len(ancestors) == 1 else None
 
     def resolve(self, destination: str, fields: Iterable[str]) -> ResolvedDestination:
-        """Return what the list says of a destination, by the fields that are asked for."""
+        """Return the resolved state of a destination, from the given fields."""
         keys = {field: Key(destination, field) for field in fields}
         return resolve({field: self.entries[key] for field, key in keys.items() if key in self.entries})
 
     def conflicts(self) -> list[Conflict]:
-        """Return all conflicts that staff have to settle."""
+        """Return all conflicts that staff have to resolve."""
         conflicts = (find_conflict(entry) for _, entry in sorted(self.entries.items()))
         return [conflict for conflict in conflicts if conflict is not None]
 
-    # Other members
+    # Messages between members
 
     def start_comparison(self) -> list[bytes]:
-        """Return the datagrams that begin a comparison with any other member; a few a minute are enough."""
-        self._root_count += 1
+        """Return the datagrams that start a comparison with any other member; a few comparisons a minute suffice."""
+        self._comparison_count += 1
         rows = [(self.name, self.vector)]
         size = len(ENCODE((self.name, self.vector)))
-        for name in self._members_in_turn():
+        for name in self._members_round_robin():
             size += len(ENCODE((name, self.member_vectors[name])))
             if size > MAX_DATAGRAM_BYTES - ROOT_HEADER_BYTES:
                 break
             rows.append((name, self.member_vectors[name]))
         return pack_datagrams([RootDigest(self.digests.digest(""), rows)])
 
-    def _members_in_turn(self) -> list[str]:
-        """Return the members whose vectors are known, beginning with another one each time."""
+    def _members_round_robin(self) -> list[str]:
+        """Return the members with known vectors, starting with a different one at each comparison."""
         names = sorted(self.member_vectors)
         if not names:
             return []
-        first = self._root_count % len(names)
+        first = self._comparison_count % len(names)
         return names[first:] + names[:first]
 
     def receive(self, data: bytes) -> list[bytes]:
-        """Handle a datagram, and return the datagrams to respond with; a malformed one has no effect."""
+        """Handle a datagram, and return the response datagrams; a malformed one has no effect."""
         responses = (
             response for message in unpack_datagram(data) for response in self._handle_message(message)
         )
@@ -203,7 +202,7 @@
         return responses
 
     def _descend(self, prefix: str) -> SyncMessage:
-        """Return the next message about a range that differs."""
+        """Return the next message about a differing range: hashes if it has few entries, else child digests."""
         if len(prefix) == TREE_DEPTH or self.digests.count(prefix) <= MAX_LEAF_ENTRIES:
             hashes = [entry_hash for _, entry_hash in self.digests.entry_hashes(prefix)]
             return LeafHashes(prefix, hashes[:MAX_LEAF_ENTRIES])
@@ -211,7 +210,7 @@
 
     def _handle_child_digests(self, message: ChildDigests) -> list[SyncMessage]:
         if len(message.prefix) == TREE_DEPTH:
-            # A range of the lowest level has no parts.
+            # A lowest-level range has no child ranges.
             return []
         local_digests = self.digests.children(message.prefix)
         return [
@@ -252,7 +251,7 @@
         return []
 
     def _handle_tombstone(self, tombstone: Tombstone) -> list[SyncMessage]:
-        """Drop the siblings that the tombstone covers; no response follows."""
+        """Drop the siblings that a tombstone covers; there is no response."""
         local = self.entries.get(tombstone.key)
         replaced = dict(tombstone.context)
         if local is None:
@@ -265,10 +264,10 @@
         self._store(tombstone.key, Entry(tombstone.key, siblings, context))
         return []
 
-    # Causal stability
+    # Causal stability and garbage collection
 
     def stable_vector(self) -> VersionVector:
-        """Return the edits whose effect every member holds, as far as is known here."""
+        """Return the vector of the edits whose effect every member holds, as far as this member knows."""
         vectors = [
             self.vector,
             *(self.member_vectors.get(name, {}) for name in self.members if name != self.name),
@@ -276,14 +275,14 @@
         return {replica: min(vector.get(replica, 0) for vector in vectors) for replica in self.vector}
 
     def _collect_tombstones(self) -> None:
-        """Drop the keys without a value of which no member can hold an older state."""
+        """Drop the tombstones of which no member can hold an older state."""
         stable = self.stable_vector()
         dropped = [key for key in self._tombstones if contains_context(stable, self.entries[key].context)]
         for key in dropped:
             self._store(key, None)
 
     def _store(self, key: Key, entry: Entry | None) -> None:
-        """Replace the entry of a key; `None` drops it."""
+        """Replace the entry of a key; `None` removes it."""
         if entry is None:
             self.entries.pop(key, None)
         else:
@@ -297,11 +296,11 @@
     # Stored state
 
     def encode_state(self) -> bytes:
-        """Return the state, to be stored before an edit is confirmed to staff."""
+        """Return the encoded state, to be stored before an edit is confirmed to staff."""
         return ENCODE(ReplicaState(self._sorted_entries(), self.vector, self.member_vectors))
 
     def restore(self, data: bytes) -> None:
-        """Continue from a stored state.
+        """Restore a stored state.
 
         Raises:
             InvalidReplicaStateError: The state cannot be decoded, and nothing has changed.
@@ -316,7 +315,7 @@
             self._store(entry.key, entry)
 
     def canonical_bytes(self) -> bytes:
-        """Return the entries in the same bytes at every member that has the same edits."""
+        """Return an encoding of the entries that is equal at all members with the same edits."""
         return ENCODE(self._sorted_entries())
 
     def _sorted_entries(self) -> list[Entry]:
@@ -324,5 +323,5 @@
 
 
 def _random_id() -> int:
-    """Return a replica id of 63 random bits, as a `Count` holds."""
+    """Return a replica id of 63 random bits, the range of `Count`."""
     return int.from_bytes(os.urandom(8), "big") >> 1
--- a/kestreltrack/fleet/reconcile/resolution.py
+++ b/kestreltrack/fleet/reconcile/resolution.py
@@ -1,4 +1,4 @@
-"""What a list says of one destination, and which conflicting edits staff have to settle.  No I/O."""
+"""Resolved state of a destination, and the conflicting edits that staff have to resolve.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from kestreltrack.fleet.reconcile.entries import ENROLLED_PREFIX, Entry, Key, Sibling, is_tombstone
 
-# Fields of which no rule can choose one of two values.
-FIELDS_SETTLED_BY_STAFF = ("address", "owner")
+# Fields without a rule that chooses between concurrent values.
+MANUALLY_RESOLVED_FIELDS = ("address", "owner")
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Values that only staff can choose between; an edit made with knowledge of all siblings settles it.
+    """Concurrent values that only staff can choose between; an edit that replaces all siblings resolves it.
 
     Attributes:
         key: The field and the destination.
         siblings: The conflicting edits.
-        fallback_value: The value before them that every member had; `None`: the destination is halted.
+        fallback_value: The previous value that every member had; `None` if the destination is halted.
     """
 
     key: Key
@@ -26,28 +26,28 @@
     fallback_value: str | None
 
     def __str__(self) -> str:
-        """Return the conflicting edits, what holds meanwhile, and how to settle them."""
+        """Return the conflicting edits, the state until they are resolved, and how to resolve them."""
         edits = "; ".join(
             f"{sibling.author} set {sibling.value or 'none'} (at {sibling.edited_at_s})"
             for sibling in self.siblings
         )
-        meanwhile = f"{self.fallback_value} is used" if self.fallback_value else "it is halted"
+        interim_state = f"{self.fallback_value} is used" if self.fallback_value else "it is halted"
         return (
             f"destination {self.key.destination} has several values of {self.key.field}: {edits}. Until one is set "
-            f"again at any member, {meanwhile}."
+            f"again at any member, {interim_state}."
         )
 
 
 class ResolvedDestination(msgspec.Struct, frozen=True):
-    """What a list says of one destination.
+    """The state of one destination, resolved from its entries.
 
     Attributes:
-        enrolled: The classes and tenants that it is enrolled for.
-        paused: Why it is paused; empty where it is not.
+        enrolled: The classes and tenants that the destination is enrolled for.
+        paused: Why it is paused; empty if it is not.
         address: Its address.
         owner: Its owner.
         conflicts: The conflicts of its fields.
-        halted: Whether a field has no value to go on with until staff settle its conflict.
+        halted: Whether a field has no usable value until staff resolve its conflict.
     """
 
     enrolled: frozenset[tuple[str, str]]
@@ -59,22 +59,22 @@
 
 
 def find_conflict(entry: Entry) -> Conflict | None:
-    """Return the conflict of an entry whose siblings differ in what no rule decides."""
+    """Return the conflict of an entry whose siblings differ and that no rule resolves; `None` if there is none."""
     has_one_value = len({sibling.value for sibling in entry.siblings}) < 2
-    if entry.key.field not in FIELDS_SETTLED_BY_STAFF or has_one_value:
+    if entry.key.field not in MANUALLY_RESOLVED_FIELDS or has_one_value:
         return None
     ancestors = {sibling.stable_ancestor for sibling in entry.siblings}
     common_ancestor = next(iter(ancestors)) if len(ancestors) == 1 else None
     fallback_value = None
     if common_ancestor is not None:
         _, value = common_ancestor
-        # An empty value cannot be used.
+        # An empty value is not usable.
         fallback_value = value or None
     return Conflict(entry.key, entry.siblings, fallback_value)
 
 
 def resolve(entries: Mapping[str, Entry]) -> ResolvedDestination:
-    """Return what the entries of one destination say, by field; nothing here reads a clock."""
+    """Return the state of one destination from its entries by field; it does not depend on clocks."""
     enrolled = set[tuple[str, str]]()
     values = {"paused": "", "address": "", "owner": ""}
     conflicts = list[Conflict]()
@@ -86,7 +86,7 @@
             continue
         conflict = find_conflict(entry)
         if conflict is None:
-            # Of several reasons to pause, any one will do.
+            # Of several reasons to pause, any one suffices.
             values[field] = max((sibling.value for sibling in entry.siblings), default="")
         else:
             conflicts.append(conflict)
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -1,4 +1,4 @@
-"""Reconciled lists: equal copies upon any order, loss, repetition and lost folder; what they say; what it costs."""
+"""Replicated lists: convergence despite reordering, loss, duplication and lost folders; resolution; traffic."""
 
 from __future__ import annotations
 
@@ -26,17 +26,19 @@
 from kestreltrack.fleet.reconcile.resolution import ResolvedDestination
 
 NAMES = ("north", "south", "west")
-ENROLLED, PAUSED, ADDRESS = "enrolled/a/f", "paused", "address"
+ENROLLED = "enrolled/a/f"
+PAUSED = "paused"
+ADDRESS = "address"
 KEYS = [Key(destination, field) for destination in "78" for field in (ENROLLED, PAUSED, ADDRESS)]
 
 
-class Members:
-    """Three members, and the datagrams in flight between them."""
+class ReplicaGroup:
+    """Three replicas, and the datagrams in flight between them."""
 
     def __init__(self, first_id: int = 1) -> None:
         self.ids = itertools.count(first_id)
         self.replicas = {name: self.new_replica(name) for name in NAMES}
-        # From whom, to whom, and the data.
+        # Source, target and data.
         self.in_flight: list[tuple[str, str, bytes]] = []
 
     def new_replica(self, name: str) -> Replica:
@@ -57,7 +59,7 @@
         source, target, data = self.in_flight[index]
         self.send(target, source, self.replicas[target].receive(data))
 
-    def lose_all(self) -> None:
+    def drop_all(self) -> None:
         self.in_flight.clear()
 
     def deliver_all(self) -> None:
@@ -66,7 +68,7 @@
             del self.in_flight[0]
 
     def converge(self, names: tuple[str, ...] = NAMES) -> None:
-        """Compare all members without loss until nothing changes any more."""
+        """Exchange comparisons without loss until no replica changes any more."""
         before = None
         for _ in range(30):
             for one, other in itertools.permutations(names, 2):
@@ -76,22 +78,22 @@
             if state == before:
                 return
             before = state
-        raise AssertionError("they go on sending each other changes for ever")
+        raise AssertionError("the replicas have not converged in 30 rounds")
 
     def resolve(self, name: str, destination: str = "7") -> ResolvedDestination:
         return self.replicas[name].resolve(destination, [ENROLLED, PAUSED, ADDRESS])
 
 
-class Machine(RuleBasedStateMachine):
-    """Anything may happen to any member and any datagram; then all copies have to become equal."""
+class ReplicaStateMachine(RuleBasedStateMachine):
+    """Edits, restarts, lost folders and datagram faults in any order, after which all replicas have to converge."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.members = Members()
+        self.members = ReplicaGroup()
         self.edits: dict[Key, dict[Dot, str]] = {key: {} for key in KEYS}
         self.replaced: set[Dot] = set()
-        # Whether a folder was lost, and edits with it.
-        self.lost = False
+        # Whether a folder was lost or restored, which may lose edits.
+        self.lost_edits = False
         self.backup: bytes = b""
 
     @rule(name=st.sampled_from(NAMES), key=st.sampled_from(KEYS), value=st.sampled_from(["", "x", "y"]))
@@ -101,7 +103,7 @@
         dropped = {dot for dot in self.edits[key] if entries.contains_dot(dot, replica.vector)}
         self.replaced |= {sibling.dot for sibling in before.siblings} if before else dropped
         dot = self.members.edit(name, key, value)
-        assert all(dot not in edits for edits in self.edits.values()), "a dot was given out twice"
+        assert all(dot not in edits for edits in self.edits.values()), "a dot was reused"
         self.edits[key][dot] = value
 
     @rule(one=st.sampled_from(NAMES), other=st.sampled_from(NAMES))
@@ -111,20 +113,20 @@
 
     @precondition(lambda self: self.members.in_flight)
     @rule(
-        draw=st.randoms(use_true_random=False),
-        fate=st.sampled_from(["arrives", "arrives", "repeated", "lost"]),
+        rng=st.randoms(use_true_random=False),
+        fault=st.sampled_from(["none", "none", "duplicated", "lost"]),
     )
-    def datagram(self, draw: random.Random, fate: str) -> None:
-        index = draw.randrange(len(self.members.in_flight))
-        if fate != "lost":
+    def deliver_or_drop(self, rng: random.Random, fault: str) -> None:
+        index = rng.randrange(len(self.members.in_flight))
+        if fault != "lost":
             self.members.deliver(index)
-        if fate != "repeated":
+        if fault != "duplicated":
             del self.members.in_flight[index]
 
     @rule(name=st.sampled_from(NAMES))
     def wipe_folder(self, name: str) -> None:
         self.members.replicas[name] = self.members.new_replica(name)
-        self.lost = True
+        self.lost_edits = True
 
     @rule()
     def back_up_folder(self) -> None:
@@ -134,7 +136,7 @@
     @rule()
     def restore_folder(self) -> None:
         self.members.replicas["west"] = self.members.new_replica("west")
-        self.lost = True
+        self.lost_edits = True
         self.members.replicas["west"].restore(self.backup)
 
     @rule(name=st.sampled_from(NAMES))
@@ -165,18 +167,18 @@
             expected = {dot for dot in edits if dot not in self.replaced}
             entry = replica.entries.get(key)
             found = {sibling.dot for sibling in entry.siblings} if entry else set()
-            if not self.lost:
+            if not self.lost_edits:
                 assert (
-                    found == expected if entry else self._says_nothing({edits[dot] for dot in expected}, key)
+                    found == expected if entry else self._has_no_value({edits[dot] for dot in expected}, key)
                 )
             assert found <= edits.keys()
-        if not self.lost:
+        if not self.lost_edits:
             tombstones = [key for key, entry in replica.entries.items() if entries.is_tombstone(entry)]
-            assert not tombstones, "they are held for ever"
+            assert not tombstones, "tombstones are never dropped"
 
     @staticmethod
-    def _says_nothing(values: set[str], key: Key) -> bool:
-        """Return whether the values that no edit has replaced say nothing."""
+    def _has_no_value(values: set[str], key: Key) -> bool:
+        """Return whether concurrent values of a key resolve to no value."""
         return not values or ("" in values if key.field == ENROLLED else values == {""})
 
     def teardown(self) -> None:
@@ -185,7 +187,7 @@
 
 def test_all_members_with_the_same_edits_hold_the_same_bytes() -> None:
     run_state_machine_as_test(
-        Machine, settings=settings(max_examples=60, stateful_step_count=40, deadline=None)
+        ReplicaStateMachine, settings=settings(max_examples=60, stateful_step_count=40, deadline=None)
     )
 
 
@@ -195,8 +197,8 @@
 
 @st.composite
 def states(draw: st.DrawFn) -> list[Entry]:
-    """Draw three states of one key that edits could have led to: each dot has one value, whoever holds it."""
-    found = []
+    """Draw three reachable states of one key: a dot has the same value in each."""
+    entry_states = []
     for _ in range(3):
         siblings = {sibling.dot: sibling for sibling in draw(st.lists(any_siblings, max_size=3))}
         context = {}
@@ -204,29 +206,29 @@
             newest = max([number for other_id, number in siblings if other_id == replica_id], default=0)
             context[replica_id] = newest + draw(st.integers(0, 2))
         dots = tuple(dot for dot in context.items() if dot[1])
-        found.append(Entry(KEYS[0], tuple(sorted(siblings.values())), dots))
-    return found
+        entry_states.append(Entry(KEYS[0], tuple(sorted(siblings.values())), dots))
+    return entry_states
 
 
 @given(states())
 @settings(max_examples=300, deadline=None)
-def test_the_join_is_commutative_associative_and_idempotent(three: list[Entry]) -> None:
-    def both(one: Entry, other: Entry) -> Entry:
-        found = join(one, other, lambda dot: False)
-        assert found
-        return found
+def test_the_join_is_commutative_associative_and_idempotent(entry_states: list[Entry]) -> None:
+    def joined(one: Entry, other: Entry) -> Entry:
+        entry = join(one, other, lambda dot: False)
+        assert entry
+        return entry
 
-    a, b, c = three
-    assert both(a, b) == both(b, a) and both(a, a) == a and both(both(a, b), b) == both(a, b)
-    assert both(both(a, b), c) == both(a, both(b, c))
+    a, b, c = entry_states
+    assert joined(a, b) == joined(b, a) and joined(a, a) == a and joined(joined(a, b), b) == joined(a, b)
+    assert joined(joined(a, b), c) == joined(a, joined(b, c))
 
 
-# What the lists say --------------------------------------------------------------------------------
+# Resolution ----------------------------------------------------------------------------------------
 
 
-def test_a_withdrawal_wins_against_an_enrolment_and_a_pause_against_a_resumption() -> None:
+def test_a_withdrawal_wins_over_an_enrolment_and_a_pause_over_a_resumption() -> None:
     for first, second in (("north", "south"), ("south", "north")):
-        members = Members()
+        members = ReplicaGroup()
         members.edit("north", Key("7", ENROLLED), "yes")
         members.edit("north", Key("7", PAUSED), "they asked")
         members.converge()
@@ -234,7 +236,7 @@
         members.edit(second, Key("7", ENROLLED), "still")
         members.edit(first, Key("7", PAUSED), "")
         members.edit(second, Key("7", PAUSED), "they asked again")
-        members.lose_all()
+        members.drop_all()
         assert members.resolve(second).enrolled and not members.resolve(first).enrolled
         members.converge()
         for name in NAMES:
@@ -242,14 +244,15 @@
             assert not members.resolve(name).conflicts
 
 
-def test_of_two_addresses_the_last_common_one_is_used_until_staff_settle_the_conflict() -> None:
-    members, key = Members(), Key("7", ADDRESS)
+def test_conflicting_addresses_fall_back_to_the_common_ancestor_until_staff_resolve_the_conflict() -> None:
+    members = ReplicaGroup()
+    key = Key("7", ADDRESS)
     members.edit("west", key, "old")
     members.converge()
     members.edit("north", key, "tried")
     members.edit("north", key, "one")
     members.edit("south", key, "two")
-    members.lose_all()
+    members.drop_all()
     members.converge()
     for name in NAMES:
         resolved = members.resolve(name)
@@ -260,9 +263,9 @@
         }
         assert "set again at any member" in str(resolved.conflicts[0])
     members.edit("north", key, "three")
-    # Settled differently at the same time: one more conflict, with the same common ancestor.
+    # A concurrent, different resolution is another conflict with the same common ancestor.
     members.edit("south", key, "four")
-    members.lose_all()
+    members.drop_all()
     members.converge()
     assert members.resolve("west").address == "old" and len(members.replicas["west"].conflicts()) == 1
     members.edit("west", key, "four")
@@ -274,7 +277,8 @@
 
 def test_a_conflict_without_a_common_ancestor_halts_the_destination_whatever_the_clocks_say() -> None:
     for early, late in ((1, 2), (2, 1)):
-        members, key = Members(), Key("7", ADDRESS)
+        members = ReplicaGroup()
+        key = Key("7", ADDRESS)
         members.replicas["north"].edit(key, "one", "staff", early)
         members.replicas["south"].edit(key, "two", "staff", late)
         members.converge()
@@ -282,10 +286,11 @@
 
 
 def test_the_same_address_set_at_two_members_is_no_conflict() -> None:
-    members, key = Members(), Key("7", ADDRESS)
+    members = ReplicaGroup()
+    key = Key("7", ADDRESS)
     members.edit("north", key, "one")
     members.edit("south", key, "one")
-    members.lose_all()
+    members.drop_all()
     members.converge()
     assert members.resolve("west").address == "one" and not members.resolve("west").conflicts
 
@@ -293,12 +298,12 @@
 # Tombstones and folders --------------------------------------------------------------------------
 
 
-def withdrawn_while_west_is_cut_off() -> Members:
-    members = Members()
+def withdrawn_while_west_is_cut_off() -> ReplicaGroup:
+    members = ReplicaGroup()
     members.edit("west", Key("7", ENROLLED), "yes")
     members.converge()
     members.edit("north", Key("7", ENROLLED), "")
-    members.lose_all()
+    members.drop_all()
     members.converge(("north", "south"))
     return members
 
@@ -313,20 +318,22 @@
     assert all(members.resolve(name).enrolled for name in NAMES)
 
 
-def test_a_tombstone_dropped_early_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """West enrols anew without knowing of the withdrawal, which has to beat it."""
+def test_a_withdrawal_is_lost_if_its_tombstone_is_dropped_before_all_members_have_it(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """West enrols again without knowing of the concurrent withdrawal, which wins unless it was dropped."""
     for early in (False, True):
         if early:
             monkeypatch.setattr(Replica, "stable_vector", lambda self: self.vector)
         members = withdrawn_while_west_is_cut_off()
         members.edit("west", Key("7", ENROLLED), "still")
-        members.lose_all()
+        members.drop_all()
         members.converge()
         assert [bool(members.resolve(name).enrolled) for name in NAMES] == [early] * 3
 
 
-def test_a_restored_folder_brings_no_replaced_value_back() -> None:
-    members = Members()
+def test_a_restored_folder_does_not_resurrect_a_replaced_value() -> None:
+    members = ReplicaGroup()
     members.edit("west", Key("7", ENROLLED), "yes")
     members.converge()
     old = members.replicas["west"].encode_state()
@@ -342,23 +349,24 @@
 def test_an_emptied_folder_is_a_new_replica_and_a_reused_id_loses_edits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for same in (False, True):
-        members, key = Members(), Key("7", ADDRESS)
+    for reuse_id in (False, True):
+        members = ReplicaGroup()
+        key = Key("7", ADDRESS)
         members.edit("west", key, "one")
         members.converge()
-        if same:
+        if reuse_id:
             monkeypatch.setattr(members, "ids", itertools.repeat(1))
         members.replicas["west"] = members.new_replica("west")
-        # The first edit of a process that knows of none before it.
+        # The first edit of a process that has no state of earlier edits.
         members.edit("west", key, "two")
         members.deliver(0)
         found = [sibling.value for sibling in members.replicas["north"].entries[key].siblings]
-        assert found == (["one"] if same else ["one", "two"])
+        assert found == (["one"] if reuse_id else ["one", "two"])
 
 
-def test_an_edit_beyond_the_bounds_is_rejected_with_a_remedy() -> None:
-    members = Members()
-    with pytest.raises(EditRejectedError, match="within that bound"):
+def test_an_edit_beyond_the_limits_is_rejected_with_a_remedy() -> None:
+    members = ReplicaGroup()
+    with pytest.raises(EditRejectedError, match="within this limit"):
         members.edit("north", Key("7", ADDRESS), "x" * 65)
     with pytest.raises(EditRejectedError):
         members.edit("north", Key("7", "colour"), "red")
@@ -366,8 +374,8 @@
 
 
 def test_a_stored_state_that_cannot_be_decoded_is_rejected_with_a_remedy() -> None:
-    replica = Members().new_replica("west")
-    with pytest.raises(InvalidReplicaStateError, match="read anew from the other members"):
+    replica = ReplicaGroup().new_replica("west")
+    with pytest.raises(InvalidReplicaStateError, match="fetched again from the other members"):
         replica.restore(b"\xc1")
 
 
@@ -377,7 +385,7 @@
 @given(st.binary(max_size=200), st.recursive(st.none() | st.integers() | st.text(), st.lists, max_leaves=20))
 @settings(max_examples=200, deadline=None)
 def test_a_malformed_datagram_changes_nothing(data: bytes, tree: object) -> None:
-    members = Members()
+    members = ReplicaGroup()
     members.edit("north", KEYS[0], "x")
     before = members.replicas["north"].encode_state()
     for malformed in (
@@ -397,16 +405,18 @@
     return True
 
 
-@pytest.mark.parametrize("differ", [0, 10, 300])
-def test_the_cost_grows_with_the_difference_and_not_with_the_list(differ: int) -> None:
+@pytest.mark.parametrize("differing_entries", [0, 10, 300])
+def test_traffic_grows_with_the_difference_and_not_with_the_length_of_the_list(
+    differing_entries: int,
+) -> None:
     """Figures: benchmarks/reconcile.py."""
     sent_bytes = {}
     for size in (1_000, 4_000):
-        members = Members()
+        members = ReplicaGroup()
         for n in range(size):
             members.replicas["north"].edit(Key(str(n), ADDRESS), "x", "staff", 0)
         members.replicas["south"].restore(members.replicas["north"].encode_state())
-        for n in range(differ):
+        for n in range(differing_entries):
             members.replicas[NAMES[n % 2]].edit(Key(str(n), ADDRESS), "y", "staff", 1)
         members.send("north", "south", members.replicas["north"].start_comparison())
         total_bytes = 0
@@ -417,4 +427,6 @@
             del members.in_flight[0]
         assert members.replicas["north"].canonical_bytes() == members.replicas["south"].canonical_bytes()
         sent_bytes[size] = total_bytes
-    assert sent_bytes[4_000] <= 2.0 * sent_bytes[1_000] and sent_bytes[4_000] < 200 + 1_000 * differ
+    assert (
+        sent_bytes[4_000] <= 2.0 * sent_bytes[1_000] and sent_bytes[4_000] < 200 + 1_000 * differing_entries
+    )
