--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: the real protocol over a simulated network with every fault; datagrams against noise."""
+"""Membership: the protocol over a simulated network with faults, and its handling of malformed datagrams."""
 
 from __future__ import annotations
 
@@ -25,15 +25,14 @@
 from kestreltrack.testing.harness.links import LinkFault
 from kestreltrack.testing.harness.simulated_network import SimulatedNetwork, ViewChange
 
-# Milliseconds.
-SECOND = 1000.0
-MINUTE = 60_000.0
+SECOND_MS = 1000.0
+MINUTE_MS = 60_000.0
 
 
 def joined_network(
     count: int, loss: float = 0.0, duplicate_rate: float = 0.0, duplicate_delay_ms: float = 0.0
 ) -> SimulatedNetwork:
-    """Return a network whose members know of each other."""
+    """Return a network whose members know each other."""
     fault = LinkFault(
         loss=loss,
         delay_ms=1.0,
@@ -41,23 +40,23 @@
         duplicate_rate=duplicate_rate,
         duplicate_delay_ms=duplicate_delay_ms,
     )
-    net = SimulatedNetwork(count, 1, fault)
-    net.run(3 * MINUTE, net.views_agree)
-    assert net.views_agree()
-    return net
+    network = SimulatedNetwork(count, 1, fault)
+    network.run(3 * MINUTE_MS, network.views_agree)
+    assert network.views_agree()
+    return network
 
 
-def states_of(net: SimulatedNetwork, name: str) -> set[str]:
-    """Return the states that the running members record for one member."""
+def states_of(network: SimulatedNetwork, name: str) -> set[str]:
+    """Return the states that the other running members record for one member."""
     return {
         member.table.members[name].state.value if name in member.table.members else "unknown"
-        for member in net.running_members()
+        for member in network.running_members()
         if member.local_member.name != name
     }
 
 
-def deaths_reported_by(changes: list[ViewChange], member: str) -> set[str]:
-    """Return the members that one member took to be dead."""
+def members_declared_dead_by(changes: list[ViewChange], member: str) -> set[str]:
+    """Return the members that one member has recorded as dead."""
     return {
         change.change.name
         for change in changes
@@ -67,140 +66,142 @@
 
 @pytest.mark.parametrize(("count", "loss"), [(1, 0.0), (2, 0.0), (8, 0.0), (40, 0.1), (12, 0.3)])
 def test_members_find_each_other_and_a_killed_member_is_dead_for_all(count: int, loss: float) -> None:
-    net = joined_network(count, loss=loss)
+    network = joined_network(count, loss=loss)
     if count > 1:
-        net.kill(["m0001"])
-        net.run(3 * MINUTE, lambda: states_of(net, "m0001") == {"gone"})
-        assert states_of(net, "m0001") == {"gone"}
-    net.run(MINUTE, net.views_agree)
-    assert net.views_agree() and not net.false_positives()
+        network.kill(["m0001"])
+        network.run(3 * MINUTE_MS, lambda: states_of(network, "m0001") == {"gone"})
+        assert states_of(network, "m0001") == {"gone"}
+    network.run(MINUTE_MS, network.views_agree)
+    assert network.views_agree() and not network.false_positives()
 
 
 def test_announced_leave_is_known_within_two_seconds_without_suspicion() -> None:
-    net = joined_network(8)
-    net.leave("m0004")
-    net.run(2 * SECOND)
-    assert states_of(net, "m0004") == {"left"}
-    assert not [view for view in net.view_changes if view.change.state is MemberState.SUSPECT]
+    network = joined_network(8)
+    network.leave("m0004")
+    network.run(2 * SECOND_MS)
+    assert states_of(network, "m0004") == {"left"}
+    assert not [view for view in network.view_changes if view.change.state is MemberState.SUSPECT]
 
 
 def test_restarted_member_is_one_member_with_a_new_incarnation() -> None:
-    net = joined_network(6)
-    net.kill(["m0002"])
-    net.add("m0002", start=2)  # before any other member has noticed
-    net.run(20 * SECOND)
-    assert net.views_agree() and not net.false_positives()
-    net.kill(["m0002"])
-    net.run(MINUTE, lambda: states_of(net, "m0002") == {"gone"})
-    net.add("m0002", start=1)  # its clock went back: it learns the incarnation to exceed
-    net.run(MINUTE, net.views_agree)
-    assert net.views_agree() and net.members["m0002"].local_member.incarnation > 2
-
-
-def test_seed_found_after_start_is_learned_from_like_a_configured_one() -> None:
-    net = joined_network(8)
-    late = net.add("late", seeds=0)
-    late.replace_seeds(["m0001:1"])  # as after a read of etcd's registry
-    assert not late.caught_up, "there is a member to learn from"
-    net.run(2 * SECOND, lambda: net.views_agree() and late.caught_up)
-    assert net.views_agree() and late.caught_up, "it knows all members, not the seed alone"
-    alone = net.add("alone", seeds=0)
+    network = joined_network(6)
+    network.kill(["m0002"])
+    network.add("m0002", start=2)  # before any other member has detected the failure
+    network.run(20 * SECOND_MS)
+    assert network.views_agree() and not network.false_positives()
+    network.kill(["m0002"])
+    network.run(MINUTE_MS, lambda: states_of(network, "m0002") == {"gone"})
+    network.add("m0002", start=1)  # its clock was set back: it learns the incarnation to exceed
+    network.run(MINUTE_MS, network.views_agree)
+    assert network.views_agree() and network.members["m0002"].local_member.incarnation > 2
+
+
+def test_member_catches_up_through_a_seed_found_after_its_start() -> None:
+    network = joined_network(8)
+    late = network.add("late", seeds=0)
+    late.replace_seeds(["m0001:1"])  # as after a read of the etcd registry
+    assert not late.caught_up, "the list of the seed has not been received yet"
+    network.run(2 * SECOND_MS, lambda: network.views_agree() and late.caught_up)
+    assert network.views_agree() and late.caught_up, "it knows all members, not only the seed"
+    alone = network.add("alone", seeds=0)
     alone.replace_seeds(["nobody:1"])
     alone.replace_seeds([])
-    assert alone.caught_up, "the seed was of a member that no longer exists"
+    assert alone.caught_up, "without seeds there is no member to catch up from"
 
 
 def test_partitioned_halves_find_each_other_after_healing() -> None:
-    net = joined_network(10)
-    net.links.groups = {"one": {f"m{n:04}" for n in range(5)}, "two": {f"m{n:04}" for n in range(5, 10)}}
-    net.links.inject("one", "two", LinkFault(cut=True))
-    net.run(2 * MINUTE)
-    assert all(len(member.active_members()) == 5 for member in net.running_members())
-    net.heal()
-    net.run(2 * MINUTE, net.views_agree)
-    assert net.views_agree()
-
-
-def test_member_that_receives_nothing_makes_no_other_member_dead() -> None:
-    net = joined_network(8)
-    net.links.inject("*", "m0003", LinkFault(cut=True), bidirectional=False)
-    net.run(MINUTE)
-    assert states_of(net, "m0003") == {"gone"}
+    network = joined_network(10)
+    network.links.groups = {"one": {f"m{n:04}" for n in range(5)}, "two": {f"m{n:04}" for n in range(5, 10)}}
+    network.links.inject("one", "two", LinkFault(cut=True))
+    network.run(2 * MINUTE_MS)
+    assert all(len(member.active_members()) == 5 for member in network.running_members())
+    network.heal()
+    network.run(2 * MINUTE_MS, network.views_agree)
+    assert network.views_agree()
+
+
+def test_member_that_receives_nothing_causes_no_other_member_to_be_declared_dead() -> None:
+    network = joined_network(8)
+    network.links.inject("*", "m0003", LinkFault(cut=True), bidirectional=False)
+    network.run(MINUTE_MS)
+    assert states_of(network, "m0003") == {"gone"}
     others = [
-        view for view in net.false_positives() if view.change.name != "m0003" and view.member != "m0003"
+        view for view in network.false_positives() if view.change.name != "m0003" and view.member != "m0003"
     ]
     assert not others, "only the member that receives nothing may believe others dead"
-    net.heal()
-    net.run(2 * MINUTE, net.views_agree)
-    assert net.views_agree()
+    network.heal()
+    network.run(2 * MINUTE_MS, network.views_agree)
+    assert network.views_agree()
 
 
 def test_member_paused_for_30_s_declares_nobody_dead_and_has_to_catch_up() -> None:
-    net = joined_network(8)
-    net.pause("m0005", 30 * SECOND)
-    net.kill(["m0006"])
-    net.run(29 * SECOND)
-    assert states_of(net, "m0006") >= {"gone"}
-    changes_before = len(net.view_changes)
-    net.run(1.002 * SECOND)
-    assert not net.members["m0005"].caught_up, "its view is 30 s old"
-    net.run(MINUTE, lambda: net.views_agree() and net.members["m0005"].caught_up)
-    assert net.views_agree() and net.members["m0005"].caught_up
-    assert deaths_reported_by(net.view_changes[changes_before:], "m0005") <= {"m0006"}, (
-        "nobody answered it for 30 s, and that was its own fault"
+    network = joined_network(8)
+    network.pause("m0005", 30 * SECOND_MS)
+    network.kill(["m0006"])
+    network.run(29 * SECOND_MS)
+    assert states_of(network, "m0006") >= {"gone"}
+    changes_before = len(network.view_changes)
+    network.run(1.002 * SECOND_MS)
+    assert not network.members["m0005"].caught_up, "its view is 30 s old"
+    network.run(MINUTE_MS, lambda: network.views_agree() and network.members["m0005"].caught_up)
+    assert network.views_agree() and network.members["m0005"].caught_up
+    assert members_declared_dead_by(network.view_changes[changes_before:], "m0005") <= {"m0006"}, (
+        "missing answers during its own pause are no evidence against others"
     )
 
 
 def test_datagrams_duplicated_five_seconds_later_change_nothing() -> None:
-    net = joined_network(8, duplicate_rate=0.5, duplicate_delay_ms=5 * SECOND)
-    net.kill(["m0002"])
-    net.run(MINUTE, lambda: states_of(net, "m0002") == {"gone"})
-    changes_before = len(net.view_changes)
-    net.run(MINUTE)
-    assert not net.view_changes[changes_before:] and states_of(net, "m0002") == {"gone"}
+    network = joined_network(8, duplicate_rate=0.5, duplicate_delay_ms=5 * SECOND_MS)
+    network.kill(["m0002"])
+    network.run(MINUTE_MS, lambda: states_of(network, "m0002") == {"gone"})
+    changes_before = len(network.view_changes)
+    network.run(MINUTE_MS)
+    assert not network.view_changes[changes_before:] and states_of(network, "m0002") == {"gone"}
 
 
 def test_seven_in_ten_killed_at_once_are_removed_and_rejoin() -> None:
-    net = joined_network(20)
+    network = joined_network(20)
     names = [f"m{n:04}" for n in range(14)]
-    net.kill(names)
-    net.run(3 * MINUTE, net.views_agree)
-    assert net.views_agree() and len(net.running_members()) == 6
+    network.kill(names)
+    network.run(3 * MINUTE_MS, network.views_agree)
+    assert network.views_agree() and len(network.running_members()) == 6
     for name in names:
-        net.add(name, start=2)
-    net.run(3 * MINUTE, net.views_agree)
-    assert net.views_agree() and len(net.running_members()) == 20
+        network.add(name, start=2)
+    network.run(3 * MINUTE_MS, network.views_agree)
+    assert network.views_agree() and len(network.running_members()) == 20
 
 
-def test_rolling_restart_makes_no_member_dead() -> None:
-    net = joined_network(10)
+def test_rolling_restart_declares_no_running_member_dead() -> None:
+    network = joined_network(10)
     for n in range(10):
-        net.leave(f"m{n:04}")
-        net.run(SECOND)
-        net.add(f"m{n:04}", start=2)
-        net.run(2 * SECOND)
-    net.run(MINUTE, net.views_agree)
-    assert net.views_agree() and not net.false_positives()
+        network.leave(f"m{n:04}")
+        network.run(SECOND_MS)
+        network.add(f"m{n:04}", start=2)
+        network.run(2 * SECOND_MS)
+    network.run(MINUTE_MS, network.views_agree)
+    assert network.views_agree() and not network.false_positives()
 
 
 def test_answers_slower_than_the_probe_timeout_cause_suspicions_but_no_death() -> None:
-    net = joined_network(12)
-    net.links.inject("*", "m0007", LinkFault(delay_ms=300.0, jitter_ms=300.0))  # direct answers come too late
-    net.run(3 * MINUTE)
-    suspected = [view for view in net.view_changes if view.change.state is MemberState.SUSPECT]
-    assert suspected and not net.false_positives(), "each suspicion is refuted in time"
+    network = joined_network(12)
+    network.links.inject(
+        "*", "m0007", LinkFault(delay_ms=300.0, jitter_ms=300.0)
+    )  # later than the timeout of a direct answer
+    network.run(3 * MINUTE_MS)
+    suspected = [view for view in network.view_changes if view.change.state is MemberState.SUSPECT]
+    assert suspected and not network.false_positives(), "each suspicion is refuted in time"
 
 
 def test_datagram_rate_of_a_member_does_not_grow_with_the_fleet() -> None:
     small = joined_network(6)
     large = joined_network(60)
     rates = list[float]()
-    for net in (small, large):
-        net.run(MINUTE)  # until all updates about the joins are disseminated
-        sent_before = sum(net.datagrams_sent.values())
-        net.run(MINUTE)
-        rates.append((sum(net.datagrams_sent.values()) - sent_before) / len(net.members) / 60.0)
-    assert rates[1] < 1.3 * rates[0] and rates[1] < 5.0, "datagrams a second of each member"
+    for network in (small, large):
+        network.run(MINUTE_MS)  # until all updates about joins are disseminated
+        sent_before = sum(network.datagrams_sent.values())
+        network.run(MINUTE_MS)
+        rates.append((sum(network.datagrams_sent.values()) - sent_before) / len(network.members) / 60.0)
+    assert rates[1] < 1.3 * rates[0] and rates[1] < 5.0, "datagrams per second and member"
 
 
 # Names ---------------------------------------------------------------------------------------------
@@ -211,7 +212,7 @@
 
 
 def member_that_knows_one_other() -> Swim:
-    """Return the member `me`, which knows the member `a`."""
+    """Return the local member `me`, which knows the member `a`."""
     swim = Swim(Alive("me", "me:1", 5), ProbeTiming(), 1)
     swim.join(0.0, [])
     swim.receive(1.0, "a:1", datagram_from("a", Alive("a", "a:1", 7)))
@@ -225,8 +226,8 @@
     [
         ("x:1", datagram_from("a", Dead("a", 9, "a"))),  # uses the name of another member
         ("a:1", datagram_from("me", Left("a", 9))),  # uses the name of the recipient
-        ("x:1", datagram_from("x", Alive("a", "x:1", 9))),  # gives a living member's name another address
-        ("x:1", datagram_from("x", Suspect("a", 6, "x"))),  # of an incarnation that is over
+        ("x:1", datagram_from("x", Alive("a", "x:1", 9))),  # gives an alive member another address
+        ("x:1", datagram_from("x", Suspect("a", 6, "x"))),  # of an earlier incarnation
         ("x:1", datagram_from("x", Dead("b", 6, "x"))),  # of an unknown member
         ("a:1", datagram_from("a", Alive("me", "a:1", 99))),
     ],
@@ -254,10 +255,10 @@
 
 
 def test_suspicion_with_more_reporters_expires_sooner() -> None:
-    net = joined_network(8)
-    swim = net.members["m0000"]
+    network = joined_network(8)
+    swim = network.members["m0000"]
     table = swim.table
-    now = net.now
+    now = network.now
     table.apply_update(now, Suspect("m0003", 1, "m0001"))
     timeout_with_one_reporter_ms = table.next_suspicion_expiry() - now
     for reporter in ("m0002", "m0004", "m0004", "m0005"):
@@ -275,7 +276,7 @@
     st.one_of(st.binary(max_size=1400), st.binary(max_size=60).map(lambda tail: TRUNCATED_DATAGRAM + tail))
 )
 @settings(max_examples=400, deadline=None)
-def test_noise_is_counted_and_changes_nothing(data: bytes) -> None:
+def test_malformed_datagram_is_counted_and_changes_nothing(data: bytes) -> None:
     swim = member_that_knows_one_other()
     try:
         decode_datagram(data)
@@ -284,11 +285,11 @@
         swim.receive(2.0, "x:1", data)
         assert [info.name for info in swim.active_members()] == ["a", "me"] and swim.counts[str(error)] == 1
     else:
-        swim.receive(2.0, "x:1", data)  # it happens to be a valid datagram
+        swim.receive(2.0, "x:1", data)  # a valid datagram by chance
     assert swim.local_member.name == "me" and swim.tick(3.0) is not None
 
 
-def test_versions_with_other_fields_are_read_and_unknown_versions_dropped() -> None:
+def test_added_and_omitted_fields_are_accepted_and_unknown_versions_dropped() -> None:
     def datagram(version: int, *alive: Any) -> bytes:
         return msgspec.msgpack.encode([version, "b", ["o"], [list(alive)]])
 
@@ -314,10 +315,10 @@
         sizes += [len(data) for _, data in outgoing]
     pages = 0
     after_name = ""
-    for moment in range(1000):
-        sizes += [len(data) for _, data in swim.tick(3.0 + 200.0 * moment)]
+    for round_number in range(1000):
+        sizes += [len(data) for _, data in swim.tick(3.0 + 200.0 * round_number)]
         (answer,) = swim.receive(
-            3.0 + 200.0 * moment, "a:1", datagram_from("a", body=wire.StateRequest(after_name))
+            3.0 + 200.0 * round_number, "a:1", datagram_from("a", body=wire.StateRequest(after_name))
         )
         sizes.append(len(answer[1]))
         _, body, updates = decode_datagram(answer[1])
