--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Several sender processes as one fleet, with faults between them and on them; judged by their views."""
+"""Several sender processes as one fleet, with faults of processes and links; checks their views of the members."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     run_fleet(tmp_path, 5, scenario)
 
 
-def test_partitioned_halves_see_each_other_dead_and_heal(tmp_path: Path) -> None:
+def test_partitioned_halves_declare_each_other_dead_and_merge_after_healing(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.links.inject("zone:a", "zone:b", LinkFault(cut=True))
         for zone in ("a", "b"):
@@ -55,14 +55,14 @@
     run_fleet(tmp_path, 6, scenario)
 
 
-def test_sender_that_receives_nothing_is_removed_and_rejoins_although_it_sends(
+def test_sender_that_can_only_send_is_declared_dead_and_rejoins(
     tmp_path: Path,
 ) -> None:
     async def scenario(fleet: Fleet) -> None:
         others = [name for name in fleet.names if name != "s3"]
         fleet.links.inject("*", "s3", LinkFault(cut=True), bidirectional=False)
         await fleet.wait_for_views(
-            others, lambda view: view.get("s3") == "gone", "that the one that receives nothing is dead"
+            others, lambda view: view.get("s3") == "gone", "that the sender that receives nothing is dead"
         )
         fleet.links.heal()
         await fleet.wait_for_membership(fleet.names)
@@ -70,7 +70,7 @@
     run_fleet(tmp_path, 4, scenario)
 
 
-def test_views_agree_after_a_pause_longer_than_every_suspicion_under_loss(tmp_path: Path) -> None:
+def test_views_agree_after_a_pause_longer_than_any_suspicion_timeout_under_loss(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.links.inject(
             "*", "*", LinkFault(loss=0.1, jitter_ms=5.0, duplicate_rate=0.1, duplicate_delay_ms=500.0)
@@ -78,7 +78,7 @@
         others = [name for name in fleet.names if name != "s1"]
         await fleet.signal(["s1"], SIGSTOP)
         await fleet.wait_for_views(
-            others, lambda view: view.get("s1") == "gone", "that the paused one is dead"
+            others, lambda view: view.get("s1") == "gone", "that the paused sender is dead"
         )
         await fleet.signal(["s1"], SIGCONT)
         await fleet.wait_for_membership(fleet.names)
@@ -89,9 +89,9 @@
 def test_two_processes_of_one_sender_are_one_member(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         others = ["s2", "s3", "s4"]
-        # It serves at once, and is no member before the old process releases the address.
+        # The successor serves at once, and joins only once the old process releases the address.
         await fleet.start_successor("s1")
-        await fleet.wait_for_views(others, lambda view: view.get("s1") == "alive", "that it stays a member")
+        await fleet.wait_for_views(others, lambda view: view.get("s1") == "alive", "that s1 stays a member")
         old = fleet.previous_processes["s1"]
         await old.signal(SIGTERM)
         await fleet.wait_ended(old)
@@ -101,14 +101,14 @@
         for name in others:
             rows = [line for line in fleet.senders[name].log_records if line["event"] == "member"]
             left = [row for row in rows if row["name"] == "s1" and row["standing"] == "left"]
-            assert not left, "a successor takes over without an announced leave"
+            assert not left, "a takeover by a successor announces no leave"
 
     run_fleet(tmp_path, 4, scenario)
 
 
-def test_noise_and_foreign_names_change_nothing(tmp_path: Path) -> None:
+def test_malformed_datagrams_and_names_in_use_change_nothing(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        raw_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         foreign_sender = encode_datagram("s2", Gossip(), [ENCODE(Left("s3", 2**60))])
         foreign_address = encode_datagram("stranger", Gossip(), [ENCODE(Alive("s2", "127.0.0.1:9", 2**60))])
         unknown_version = b"\x94\x07\xa1x\x91\xa1o\x90"
@@ -122,10 +122,10 @@
             unknown_version,
         ]
         for data in invalid * 30:
-            stranger.sendto(data, fleet.datagram_proxy.real_addresses["s1"])
-        stranger.close()
+            raw_socket.sendto(data, fleet.datagram_proxy.real_addresses["s1"])
+        raw_socket.close()
         sender = fleet.senders["s1"]
-        # Until all have arrived, or as many as its socket buffers.
+        # Until all of them are counted, or as many as the socket buffers.
         while sender.counters.get("fleet.dropped", 0) < 100:
             sender.counters.clear()
             await fleet.signal(["s1"], SIGUSR1)
@@ -134,7 +134,7 @@
         logged = fleet.log_records("s1", "fleet.dropped")
         dropped = sender.counters["fleet.dropped"]
         assert logged[-1]["counts"].keys() >= {"noise", "foreign_name"}
-        assert dropped > 2 * len(logged), "five a second are logged, the rest is counted"
+        assert dropped > 2 * len(logged), "five a second are logged, all are counted"
         assert dropped <= len(logged) + sender.counters["telemetry.suppressed_lines"]
 
     run_fleet(tmp_path, 4, scenario)
@@ -145,8 +145,8 @@
     import sys
 
     code = "import kestreltrack.sender.assembly, sys; print([m for m in sys.modules if 'fleet' in m or 'msgsp' in m])"
-    out = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    assert out.strip() == "[]"
+    output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
+    assert output.strip() == "[]"
 
 
 @pytest.mark.parametrize(
