--- a/kestreltrack/fleet/membership/local_health.py
+++ b/kestreltrack/fleet/membership/local_health.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeTiming:
-    """The interval between probes and the timeout of a direct answer; Lifeguard's values are 1,000 and 500."""
+    """The interval between probes and the timeout of a direct answer; the published values are 1,000 and 500."""
 
     probe_interval_ms: float = 1000.0
     probe_timeout_ms: float = 400.0
--- a/kestreltrack/fleet/membership/state_sync.py
+++ b/kestreltrack/fleet/membership/state_sync.py
@@ -39,7 +39,7 @@
     """Requests pages from other members, and answers their requests."""
 
     def __init__(self, packets: PacketSender, health: LocalHealth) -> None:
-        """Create it without an outstanding request."""
+        """Start without an outstanding request."""
         self._packets = packets
         self._table = packets.table
         self._health = health
--- a/kestreltrack/fleet/reconcile/messages.py
+++ b/kestreltrack/fleet/reconcile/messages.py
@@ -11,7 +11,7 @@
 from kestreltrack.fleet.reconcile.digests import TREE_DEPTH
 from kestreltrack.fleet.reconcile.entries import ENCODE, Dot, Entry, Key, VersionVector
 
-# Size of a user message of the membership protocol, whose datagrams have 1,200 bytes.
+# Maximal size of a user message of the membership protocol, within its datagrams of 1,200 bytes.
 MAX_DATAGRAM_BYTES = 1000
 # Entries whose hashes, at 9 bytes each, fit into one datagram.
 MAX_LEAF_ENTRIES = 48
--- a/kestreltrack/fleet/rollout/votes.py
+++ b/kestreltrack/fleet/rollout/votes.py
@@ -179,7 +179,7 @@
 
 
 def _describe_missing_votes(missing: frozenset[str], valid_votes: Mapping[str, Vote]) -> str:
-    """Return a list of those who have not approved, with their objections."""
+    """Describe who has not approved, with their objections."""
     reasons = [
         f"{name}: {', '.join(valid_votes[name].against) if name in valid_votes else 'no vote'}"
         for name in sorted(missing)
