--- a/kestreltrack/fleet/replicated_config/__init__.py
+++ b/kestreltrack/fleet/replicated_config/__init__.py
@@ -1,5 +1,5 @@
-"""Versioned documents that every sender of a fleet acts on.
+"""Versioned configuration documents, replicated to every sender of a fleet.
 
-No two senders act on versions that contradict each other, and the time until all have stopped acting on an older
-version is bounded (docs/agreed.md).
+No two senders act on contradictory versions, and the time until no sender acts on an older version is bounded
+(docs/agreed.md).
 """
--- a/kestreltrack/fleet/replicated_config/active_documents.py
+++ b/kestreltrack/fleet/replicated_config/active_documents.py
@@ -1,4 +1,4 @@
-"""The documents that a sender holds, and what follows from the committed and the acknowledged one.  No I/O."""
+"""The documents that a sender holds, and the document that it acts on.  No I/O."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class ActiveDocuments:
-    """The documents that a sender holds by version: those of its state, and those that it is about to adopt.
+    """The documents of a sender's state, and those received for a state that it is about to adopt.
 
     Attributes:
-        by_version: The documents.
-        effective: The document to act on; `None`: no document is in force or acknowledged yet.
+        by_version: The documents by version.
+        effective: The document to act on; `None` if no document is in force or acknowledged yet.
         is_compatible: Whether the acknowledged document is compatible with the committed one.
     """
 
@@ -31,14 +31,14 @@
         self.activate(state)
 
     def activate(self, state: PersistentState) -> None:
-        """Act on the documents of a state from now on, and drop all others."""
+        """Make the documents of a state the active ones, and drop all others."""
         committed = self.by_version[state.committed]
         acknowledged = self.by_version[state.acknowledged]
         self.by_version = {state.committed: committed, state.acknowledged: acknowledged}
         self._encoded = {
             versioned_digest(document): canonical_bytes(document) for document in self.by_version.values()
         }
-        # A sender that has received no document yet serves all destinations, so the first one is incompatible.
+        # Without a document a sender serves all destinations, so the first document is an incompatible change.
         self.is_compatible = state.committed != INITIAL_VERSION and not incompatible_keys(
             committed, acknowledged
         )
@@ -50,19 +50,19 @@
             self.effective = intersection(committed, acknowledged)
 
     def add(self, document: ConfigDocument) -> None:
-        """Hold a document that is about to be adopted."""
+        """Add a document that is about to be adopted."""
         self.by_version[document.version] = document
 
     def retain(self, versions: set[Version]) -> None:
-        """Drop the documents of all other versions."""
+        """Drop the documents of all versions but these."""
         self.by_version = {
             version: document for version, document in self.by_version.items() if version in versions
         }
 
     def digest(self, version: Version) -> str:
-        """Return the versioned digest of a document that is held."""
+        """Return the versioned digest of the document with this version."""
         return versioned_digest(self.by_version[version])
 
     def encoded(self, digest: str) -> bytes | None:
-        """Return the bytes of an active document, for other senders to read."""
+        """Return an active document as sent to other senders; `None` if no active document has this digest."""
         return self._encoded.get(digest)
--- a/kestreltrack/fleet/replicated_config/active_replica.py
+++ b/kestreltrack/fleet/replicated_config/active_replica.py
@@ -1,4 +1,4 @@
-"""Runs the protocol of one sender on membership's datagrams, while the sender has its state folder open."""
+"""Runs the commit protocol of one sender over membership's datagrams while its state folder is open."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
 from kestreltrack.ports import Clock
 from kestreltrack.telemetry import Telemetry
 
-# A lease is requested four times while it lasts, so that it outlasts the loss of some requests.
+# Requests per duration of a lease; several, so that the lease survives the loss of some of them.
 REQUESTS_PER_LEASE = 4.0
-# The number of a response that no request asked for: requests are numbered from 1.
+# The sequence number of a response without a request; requests are numbered from 1.
 UNSOLICITED_SEQ = 0
 
 
 class MemberMessaging(Protocol):
-    """The part of membership that carries packets."""
+    """The part of membership that sends packets to other senders."""
 
     def send_user_message(self, member_name: str, data: bytes) -> None:
-        """Send a datagram to a member."""
+        """Send data to a member in a datagram."""
 
     def member_names(self) -> list[str] | None:
         """Return the names of all members."""
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderContext:
-    """What a sender's replica works with.
+    """The identity, parameters and collaborators of a sender's replica.
 
     Attributes:
         local_name: The name of this sender.
@@ -79,22 +79,22 @@
 
     @property
     def is_enrolling(self) -> bool:
-        """Return whether the folder id of a voter is not known yet; no sender votes until then."""
+        """Return whether the folder id of any voter is still unknown; no sender votes until all are known."""
         return not all(self.voters.values())
 
     @property
     def leader_name(self) -> str:
-        """Return the voter that takes proposals and commits them."""
+        """Return the name of the voter that accepts and commits proposals."""
         return next(iter(self.voters))
 
 
 class ActiveReplica:
-    """One sender's side of the protocol; a voter's or the leader's where it is one.
+    """One sender's side of the protocol, including the roles of voter and leader if the sender has them.
 
     Attributes:
         replica: The protocol state.
         documents: The documents of that state.
-        coordinator: Collects promises for the prepared version; `None` where this sender is not the leader.
+        coordinator: Collects promises for the prepared version; `None` if this sender is not the leader.
         is_voter: Whether the folder of this sender has the id that is listed for its name.
     """
 
@@ -114,7 +114,7 @@
         self.coordinator: CommitCoordinator | None = None
         if self.is_voter and context.leader_name == context.local_name:
             self.coordinator = self._new_coordinator()
-        # Not known after a restart: other senders may be behind the committed version.
+        # After a restart, other senders may be behind the committed version.
         self._settled = False
         self._transfer: DocumentTransfer | None = None
         self._last_request_at = NEVER
@@ -127,7 +127,7 @@
         )
 
     def log(self, change: str, cause: str, **fields: object) -> None:
-        """Log a change with the versions that hold after it."""
+        """Log a change with the versions after it."""
         state = self.replica.state
         self._context.telemetry.log(
             "replicated_config",
@@ -141,7 +141,7 @@
     # Timers
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Commit if possible, send requests that are due, and log changes of the lease."""
         self._advance_commit(now)
         has_new_promise = self.is_voter and self.replica.make_promise(now) != self._last_promise
         request_interval_ms = self._context.parameters.lease_ms / REQUESTS_PER_LEASE
@@ -161,10 +161,10 @@
         if has_lease:
             self.log("leased", "a majority of voters granted a lease", until=expiry_s)
         else:
-            self.log("lapsed", "no majority of voters granted it anew", until=expiry_s)
+            self.log("lapsed", "no majority of voters renewed the lease", until=expiry_s)
 
     def _request_leases(self, now: float) -> None:
-        """Request a lease from all voters; where this sender is a voter, the request is its promise too."""
+        """Request a lease from all voters; the request of a voter is also its promise."""
         self._last_request_at = now
         self._last_promise = self.replica.make_promise(now)
         request = self.replica.make_request(now)
@@ -177,7 +177,7 @@
         self._send(self._context.voters, packet)
 
     def _advance_commit(self, now: float) -> None:
-        """As the leader, commit what is prepared once no sender can act against it."""
+        """As the leader, commit the prepared version once no sender can contradict it."""
         coordinator = self.coordinator
         if coordinator is None:
             return
@@ -189,7 +189,9 @@
         )
         if record is None:
             return
-        cause = f"promised by {len(coordinator.promised_at)} voters" if record.settled else "it merely adds"
+        cause = (
+            f"promised by {len(coordinator.promised_at)} voters" if record.settled else "a compatible change"
+        )
         if record.committed == state.committed or self._adopt(None, record.committed, "in force", cause):
             self._settled = record.settled
 
@@ -204,7 +206,7 @@
                 self._context.members.send_user_message(name, data)
 
     def handle_packet(self, sender_name: str, packet: Packet) -> None:
-        """Handle a packet from a member, or from this sender itself where it is a voter."""
+        """Handle a packet from a member, or from this sender itself if it is a voter."""
         now = self._context.clock()
         match packet:
             case LeaseRequestPacket():
@@ -259,15 +261,15 @@
     # Versions and documents of other voters
 
     def _follow_voter(self, voter_name: str, response: LeaseResponsePacket) -> None:
-        """Adopt the versions of a voter, once both documents are here."""
+        """Adopt the versions of a voter once both documents have been received."""
         state = self.replica.state
         committed = Version(*response.committed)
         acknowledged = Version(*response.acknowledged)
         digests = {committed: response.committed_digest, acknowledged: response.acknowledged_digest}
         if self._has_conflict(voter_name, digests):
             return
-        is_known = acknowledged <= state.acknowledged or committed < state.committed
-        if committed <= state.committed and is_known:
+        nothing_to_acknowledge = acknowledged <= state.acknowledged or committed < state.committed
+        if committed <= state.committed and nothing_to_acknowledge:
             return
         for version, digest in digests.items():
             if version not in self.documents.by_version:
@@ -277,10 +279,10 @@
         if acknowledged > state.acknowledged:
             prepared = PreparedChange(acknowledged, committed)
         change = "in force" if committed > state.committed else "prepared"
-        self._adopt(prepared, committed, change, f"told by {voter_name}")
+        self._adopt(prepared, committed, change, f"received from {voter_name}")
 
     def _has_conflict(self, voter_name: str, digests: Mapping[Version, str]) -> bool:
-        """Return whether a voter has another content under a version held here; the first one is logged."""
+        """Return whether a voter has different content for a version held here, and log the first such version."""
         for version, digest in digests.items():
             if version not in self.documents.by_version:
                 continue
@@ -294,7 +296,7 @@
     def _fetch_document(
         self, voter_name: str, version: Version, digest: str, response: LeaseResponsePacket
     ) -> None:
-        """Begin the transfer of a document; one under way goes on where it was, also from another voter."""
+        """Start to transfer a document; a transfer in progress continues, even from another voter."""
         if self._transfer and self._transfer.digest == digest:
             self._transfer.continue_from(voter_name, response)
             return
@@ -330,10 +332,10 @@
         )
         self._follow_voter(voter_name, response)
 
-    # Changes of the state
+    # State changes
 
     def prepare(self, document: ConfigDocument) -> None:
-        """As the leader, prepare a document on the committed version.
+        """As the leader, prepare a document on top of the committed version.
 
         Raises:
             StateWriteError: It could not be stored, and nothing has changed.
@@ -341,13 +343,13 @@
         self.documents.add(document)
         committed = self.replica.state.committed
         prepared = PreparedChange(document.version, committed)
-        if not self._adopt(prepared, committed, "prepared", "proposed here"):
-            raise StateWriteError("GW_STATE is full, or not writable")
+        if not self._adopt(prepared, committed, "prepared", "proposed to this sender"):
+            raise StateWriteError("GW_STATE is full or not writable")
 
     def _adopt(self, prepared: PreparedChange | None, committed: Version, change: str, cause: str) -> bool:
-        """Store new versions and act on them; returns whether anything has changed.
+        """Store new versions, then act on them; return whether anything has changed.
 
-        Voters learn of that at once, and all members from the leader.
+        A change is sent to the voters at once; the leader also announces it to all members.
         """
         previous_state = self.replica.state
         commit_changed = self.replica.commit(committed)
@@ -355,7 +357,7 @@
         if not commit_changed and not acknowledgement_changed:
             return False
         try:
-            # On the event loop: changes are rare, and nothing may be done by either version meanwhile.
+            # Blocks the event loop: changes are rare, and the sender must not act on either version meanwhile.
             self._context.folder.save(self.replica.state, self.documents.by_version)
         except OSError as error:
             self.replica.state = previous_state
@@ -370,7 +372,7 @@
         return True
 
     def _announce(self, coordinator: CommitCoordinator) -> None:
-        """As the leader, send the new versions to all members, and collect promises for them."""
+        """As the leader, send the new versions to all members and collect promises for them."""
         if coordinator.version != self.replica.state.acknowledged:
             self.coordinator = self._new_coordinator()
         names = self._context.members.member_names() or self._context.voters
--- a/kestreltrack/fleet/replicated_config/compatibility.py
+++ b/kestreltrack/fleet/replicated_config/compatibility.py
@@ -1,15 +1,15 @@
-"""What differs between two documents, which differences are incompatible, and what both documents allow.  No I/O.
+"""The differences between two documents, which of them are incompatible, and the intersection of both.  No I/O.
 
-A change is *incompatible* where a sender on the new document and one on the old one would contradict each other: one
-does what the other's document forbids.  All other changes are compatible.  The *intersection* of two documents does
-only what both allow.
+A change is *incompatible* if a sender on the new document and one on the old document could contradict each other:
+one does what the document of the other forbids.  All other changes are compatible.  The *intersection* of two
+documents allows only what both allow.
 
 | key | incompatible | intersection |
 | --- | --- | --- |
 | home of a destination | another home, or none | no home where they differ: no sender starts a call |
-| fractions of a limit, shares | the larger of each, summed, is over 1 | the smaller of each |
-| budgets, levels | a smaller one, as some sender still uses the larger | the smaller |
-| paused, excluded | a destination becomes one of them, or ceases to be | paused or excluded if either has it |
+| fractions of a limit, shares | the sum of the larger values is over 1 | the smaller of each |
+| budgets, levels | a smaller limit, as some senders still use the larger | the smaller |
+| paused, excluded | a destination starts or stops being paused or excluded | paused or excluded if it is in either |
 | lists (destinations, classes, tenants) | an item is removed | what both have |
 """
 
@@ -29,12 +29,12 @@
     RegionAssignment,
 )
 
-# Stands for the assignment of a destination that a document does not assign.
+# The assignment of a destination that a document does not assign to a region.
 NO_ASSIGNMENT = RegionAssignment("")
 
 
 class KeyChange(NamedTuple):
-    """A key that differs between two documents, and whether the difference is incompatible."""
+    """A key that differs between two documents, and whether the change is incompatible."""
 
     key: str
     incompatible: bool
@@ -44,7 +44,7 @@
 
 
 def changed_keys(old: ConfigDocument, new: ConfigDocument) -> Iterator[KeyChange]:
-    """Yield each key that differs, in order."""
+    """Yield each key that differs, grouped by section and sorted by name."""
     yield from _limit_changes("settings.budgets", old.settings.budgets, new.settings.budgets)
     yield from _limit_changes("settings.levels", old.settings.levels, new.settings.levels)
     if old.settings.shares != new.settings.shares:
@@ -77,7 +77,7 @@
 
 
 def _max_total(old: Mapping[str, float], new: Mapping[str, float]) -> float:
-    """Return the most that is used while some senders act on one of them and some on the other."""
+    """Return the largest total use while some senders act on the old shares and others on the new ones."""
     return math.fsum(max(old.get(name, 0.0), new.get(name, 0.0)) for name in old.keys() | new.keys())
 
 
@@ -87,7 +87,7 @@
     if old is None or new is None:
         yield KeyChange(key, new is None)
         return
-    # Another reason for the same state is compatible.
+    # A different reason for the same state is compatible.
     if old.pause_reason != new.pause_reason:
         yield KeyChange(f"{key}.paused", bool(old.pause_reason) != bool(new.pause_reason))
     if old.exclusion_reason != new.exclusion_reason:
@@ -109,11 +109,11 @@
         yield KeyChange(f"{key}.parts", largest_total > MAX_TOTAL_SHARE)
 
 
-# What a sender may do
+# Intersection
 
 
 def intersection(old: ConfigDocument, new: ConfigDocument) -> ConfigDocument:
-    """Return the document that does only what both allow; its version is the one of `old`."""
+    """Return the document that allows only what both allow; it has the version of `old`."""
     settings = LimitSettings(
         budgets=_min_limits(old.settings.budgets, new.settings.budgets),
         levels=_min_limits(old.settings.levels, new.settings.levels),
@@ -133,7 +133,7 @@
 
 
 def without_lease(document: ConfigDocument) -> ConfigDocument:
-    """Return what a sender without a lease may do: it starts no calls, as its document may have any successor."""
+    """Return what a sender without a lease may do: it starts no calls, as its document may be superseded."""
     assignments = {
         name: RegionAssignment("", assignment.standby) for name, assignment in document.assignments.items()
     }
@@ -162,10 +162,10 @@
 
 
 def _min_limits(old: Mapping[str, float], new: Mapping[str, float]) -> dict[str, float]:
-    """Return the smaller of each limit, where a missing one has no bound."""
+    """Return the smaller of each limit; a missing limit is unbounded."""
     return {name: min(old.get(name, math.inf), new.get(name, math.inf)) for name in old.keys() | new.keys()}
 
 
 def _min_shares(old: Mapping[str, float], new: Mapping[str, float]) -> dict[str, float]:
-    """Return the smaller of each share, where a missing one is none."""
+    """Return the smaller of each share; a missing share is zero."""
     return {name: min(share, new[name]) for name, share in old.items() if name in new}
--- a/kestreltrack/fleet/replicated_config/document.py
+++ b/kestreltrack/fleet/replicated_config/document.py
@@ -1,8 +1,7 @@
-"""The documents that senders act on: their schema, their hash, and whether one may follow another.  No I/O.
+"""Configuration documents: schema, hashes, and the check that one may succeed another.  No I/O.
 
-Keys of the stored documents keep the names that operators write them with (`partners`, `claims`, `firms`, ...); the
-`rename` argument of each class maps them to the names used in the code.  A destination that a document does not list
-is served by no sender.
+Stored documents have the keys that operators write (`partners`, `claims`, `firms`, ...); the `rename` argument of
+each class maps them to the names used in the code.  No sender serves a destination that the document does not list.
 """
 
 from __future__ import annotations
@@ -24,12 +23,12 @@
 )
 from kestreltrack.fleet.replicated_config.version import Version
 
-# Far more than the rules of all destinations take; a bound on what a sender reads into memory.
+# Bounds what a sender reads into memory; far above the size of the rules of all destinations.
 MAX_DOCUMENT_BYTES = 16 * 1024 * 1024
-# A sum of fractions may be over 1 by the rounding of floating-point numbers.
+# Floating-point rounding can put a sum of fractions slightly above 1.
 MAX_TOTAL_SHARE = 1.0 + 1e-9
-# An error text of msgspec: what is wrong, then the JSON path where.
-ERROR_LOCATION = re.compile(r"^(?P<what>.*?)(?: - at `(?:key in )?\$\.?(?P<at>[^`]*)`)?$", re.DOTALL)
+# Splits an error message of msgspec into the reason and the JSON path.
+MSGSPEC_ERROR = re.compile(r"^(?P<reason>.*?)(?: - at `(?:key in )?\$\.?(?P<path>[^`]*)`)?$", re.DOTALL)
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Reason = Annotated[str, Meta(max_length=200)]
@@ -39,12 +38,12 @@
 
 
 class LimitSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits by name; smaller ones allow less.
+    """Limits by name; a smaller limit is stricter.
 
     Attributes:
-        budgets: Amounts; a name that is missing has no bound.
-        levels: Amounts; a name that is missing has no bound.
-        shares: Fractions of 1, which is their largest sum; a name that is missing has none.
+        budgets: Amounts; a missing name has no limit.
+        levels: Amounts; a missing name has no limit.
+        shares: Fractions whose sum is at most 1; a missing name has no share.
     """
 
     budgets: dict[Name, Amount] = {}
@@ -58,13 +57,13 @@
     forbid_unknown_fields=True,
     rename={"tenants": "firms", "pause_reason": "paused", "exclusion_reason": "out"},
 ):
-    """A destination that is served, unless there is a reason that it is paused or excluded.
+    """A destination that is served unless it is paused or excluded.
 
     Attributes:
-        classes: The classes of messages that it is served for.
+        classes: The message classes that it is served for.
         tenants: The tenants that it is served for.
-        pause_reason: Why it is paused; empty where it is not.
-        exclusion_reason: Why it is excluded; empty where it is not.
+        pause_reason: Why it is paused; empty if it is not.
+        exclusion_reason: Why it is excluded; empty if it is not.
     """
 
     classes: frozenset[Name]
@@ -76,12 +75,12 @@
 class RegionAssignment(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"limit_fractions": "parts"}
 ):
-    """The region whose senders call a destination, and the fraction of its limit that each region may use.
+    """The region whose senders call a destination, and how its limit is divided among regions.
 
     Attributes:
-        home: The region; empty: no sender starts a call.
-        standby: The region that is to take over; it starts no calls while it is not the home.
-        limit_fractions: The fraction of the destination's limit of each region.
+        home: The region whose senders start calls; if empty, no sender does.
+        standby: The region that takes over from the home; it starts no calls before that.
+        limit_fractions: The fraction of the destination's limit that each region may use.
     """
 
     home: Annotated[str, Meta(max_length=64)]
@@ -95,7 +94,7 @@
     forbid_unknown_fields=True,
     rename={"destinations": "partners", "assignments": "claims"},
 ):
-    """One version of all rules.
+    """One version of the complete configuration.
 
     Attributes:
         name: The name of the document.
@@ -115,22 +114,22 @@
 
     @property
     def version(self) -> Version:
-        """Return what orders the document among those before and after it."""
+        """Return the version, by which documents are ordered."""
         return Version(self.epoch, self.revision)
 
 
 def canonical_bytes(document: ConfigDocument) -> bytes:
-    """Return the same bytes for equal documents, whichever sender encodes them."""
+    """Encode a document; equal documents have equal bytes at every sender."""
     return msgspec.json.encode(document, order="deterministic")
 
 
 def content_hash(document: ConfigDocument) -> str:
-    """Return the hash of the content without its version: a content that is restored has the hash that it had."""
+    """Return the hash of the content without the version, so that restored content has its original hash."""
     return xxh3_128_hexdigest(canonical_bytes(msgspec.structs.replace(document, epoch=0, revision=0)))
 
 
 def versioned_digest(document: ConfigDocument) -> str:
-    """Return the version and the content hash: a content that is restored differs by its version."""
+    """Return the version and the content hash; restored content differs from the original by the version."""
     return f"{document.epoch}-{document.revision}-{content_hash(document)}"
 
 
@@ -138,25 +137,25 @@
 
 
 def decode_document(data: bytes) -> ConfigDocument:
-    """Return a valid document.
+    """Decode and validate a document.
 
     Raises:
         InvalidDocumentError: The bytes do not match the schema, or `validate_document` rejects the document.
     """
     if len(data) > MAX_DOCUMENT_BYTES:
-        raise InvalidDocumentError("", f"{len(data)} bytes are more than {MAX_DOCUMENT_BYTES}")
+        raise InvalidDocumentError("", f"it has {len(data)} bytes: expected at most {MAX_DOCUMENT_BYTES}")
     try:
         document = _DECODE.decode(data)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        found = ERROR_LOCATION.match(str(error))
-        assert found
-        raise InvalidDocumentError(found["at"] or "", found["what"]) from error
+        parsed = MSGSPEC_ERROR.match(str(error))
+        assert parsed
+        raise InvalidDocumentError(parsed["path"] or "", parsed["reason"]) from error
     validate_document(document)
     return document
 
 
 def validate_document(document: ConfigDocument) -> None:
-    """Check the rules that the schema does not state.
+    """Check the rules that the schema cannot express.
 
     Raises:
         InvalidDocumentError: Its `key` is the first key that breaks a rule.
@@ -173,25 +172,25 @@
     if not is_listed:
         raise InvalidDocumentError(key, "the destination is not listed in partners")
     if home and assignment.limit_fractions.get(home, 0.0) == 0.0:
-        raise InvalidDocumentError(f"{key}.parts", f"its home {home} has no fraction of its limit")
+        raise InvalidDocumentError(f"{key}.parts", f"the home region {home} has no fraction of the limit")
     if assignment.standby and assignment.standby == home:
-        raise InvalidDocumentError(f"{key}.standby", "it is the home too")
+        raise InvalidDocumentError(f"{key}.standby", "the standby is also the home region")
 
 
 def _check_total(key: str, fractions: Mapping[str, float]) -> None:
-    """Raise `InvalidDocumentError` where fractions of 1 are more than 1 in sum."""
+    """Raise `InvalidDocumentError` if the sum of the fractions is over 1."""
     total = math.fsum(fractions.values())
     if total > MAX_TOTAL_SHARE:
-        raise InvalidDocumentError(key, f"the sum of {total:.3f} is over 1")
+        raise InvalidDocumentError(key, f"the sum is {total:.3f}: expected at most 1")
 
 
 def check_successor(current: Version, current_hash: str, document: ConfigDocument) -> None:
-    """Check that a document from the store may follow the current one.
+    """Check that a document from the store may succeed the current one.
 
     Raises:
-        StaleEpochError: Its epoch is older.
-        RevisionRegressionError: Its revision is older.
-        ConflictingRevisionError: It has the current version with another content.
+        StaleEpochError: Its epoch is older than the current one.
+        RevisionRegressionError: Its revision is older than the current one.
+        ConflictingRevisionError: It has the current version but different content.
     """
     received = document.version
     if received.epoch < current.epoch:
--- a/kestreltrack/fleet/replicated_config/errors.py
+++ b/kestreltrack/fleet/replicated_config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the replicated configuration; the text of each says what an operator can do."""
+"""Errors of the replicated configuration; each message ends with what an operator can do."""
 
 from __future__ import annotations
 
@@ -8,73 +8,75 @@
 
 
 class ReplicatedConfigError(Exception):
-    """Something was rejected, and what was in force stays in force.
+    """An operation was rejected; the committed document stays in force.
 
     Attributes:
-        remedy: What an operator can do; the text of the error ends with it.
+        remedy: What an operator can do; the last sentences of the message.
     """
 
     remedy = "Nothing was changed."
 
     def __str__(self) -> str:
-        """Return the cause, then the remedy."""
+        """Return the cause followed by the remedy."""
         return f"{super().__str__()}. {self.remedy}"
 
 
 class InvalidLeaseParametersError(ReplicatedConfigError, ValueError):
-    """The parameters of read leases contradict each other or break the bound on the time to stop."""
+    """The read lease parameters are inconsistent or exceed the bound on the time to stop."""
 
-    remedy = "Correct fleet.agreed.lease_ms and start the sender again."
+    remedy = "Correct fleet.agreed.lease_ms and restart the sender."
 
 
 class InvalidDocumentError(ReplicatedConfigError):
-    """A document does not match its schema, or breaks a rule that no schema states.
+    """A document does not match its schema or breaks a rule that the schema cannot express.
 
     Attributes:
-        key: The path of the invalid key, its parts separated by dots; empty for the document itself.
+        key: The dotted path of the invalid key; empty for the document itself.
         reason: What is wrong there.
     """
 
-    remedy = "Correct that key and propose the document again; the one before it stays in force as a whole."
+    remedy = (
+        "Correct that key and propose the document again; the previous document stays in force unchanged."
+    )
 
     def __init__(self, key: str, reason: str) -> None:
-        super().__init__(f"the document is faulty at {key or 'its top'}: {reason}")
+        super().__init__(f"the document is invalid at {key or 'the top level'}: {reason}")
         self.key = key
         self.reason = reason
 
 
 class RevisionRegressionError(ReplicatedConfigError):
-    """The store returned an older version than was acted on: it was wiped, or restored from a backup.
+    """The store returned a version older than the current one: it was wiped, or restored from a backup.
 
     Attributes:
-        current: The version that was acted on.
+        current: The newest version that this sender has acted on.
         received: The older version.
     """
 
     remedy = (
         "Check whether the store was wiped or restored from a backup; if so, propose the document that is to be "
-        "in force with an epoch one higher. Until then senders act on what they have."
+        "in force with an epoch one higher. Until then, senders keep acting on their current version."
     )
 
     def __init__(self, current: Version, received: Version) -> None:
-        super().__init__(f"the store has {received}, older than {current}, which was acted on")
+        super().__init__(f"the store returned {received}, which is older than the current {current}")
         self.current = current
         self.received = received
 
 
 class StaleEpochError(RevisionRegressionError):
-    """A document is of an epoch from before the store was declared anew."""
+    """A document has an epoch that was replaced by a higher one after the store lost revisions."""
 
-    remedy = "End the process or command that still uses the old epoch, and have it read the store again."
+    remedy = "Restart the process or command that still uses the old epoch, so that it reads the store again."
 
 
 class ConflictingRevisionError(ReplicatedConfigError):
-    """Two documents with different contents have one version: two stores are taken for one.
+    """Two documents with different contents have the same version: senders use two different stores as one.
 
     Attributes:
         version: The version that both have.
-        local_digest: The hash of the content here.
-        remote_digest: The hash of the content elsewhere.
+        local_digest: The digest of the content at this sender.
+        remote_digest: The digest of the other content.
     """
 
     remedy = (
@@ -83,23 +85,25 @@
     )
 
     def __init__(self, version: Version, local_digest: str, remote_digest: str) -> None:
-        super().__init__(f"{version} has the content {local_digest} here and {remote_digest} elsewhere")
+        super().__init__(
+            f"{version} has the digest {local_digest} at this sender and {remote_digest} elsewhere"
+        )
         self.version = version
         self.local_digest = local_digest
         self.remote_digest = remote_digest
 
 
 class StateUnreadableError(ReplicatedConfigError):
-    """The stored state of the last version acted on cannot be read: going on might return to an older one.
+    """The stored versions cannot be read; continuing without them could return to an older version.
 
     Attributes:
         path: The file or folder.
-        reason: What is wrong with it.
+        reason: Why it cannot be read.
     """
 
     remedy = (
-        "Put the file back from this machine's own disk, or take the whole folder away: the sender then starts as a "
-        "new one, which votes only once a new document names it."
+        "Restore the file from this machine's own disk, or remove the whole folder: the sender then starts with a "
+        "new folder id, and votes only once fleet.agreed.voters lists that id."
     )
 
     def __init__(self, path: Path, reason: str) -> None:
@@ -109,32 +113,32 @@
 
 
 class RevisionTakenError(ReplicatedConfigError):
-    """A proposal has a version that is not higher than one that was prepared before.
+    """The version of a proposal is not higher than one that was prepared before.
 
     Attributes:
-        current: The version that was prepared before.
+        current: The highest version that was prepared.
         proposed: The version of the proposal.
     """
 
-    remedy = "Give it a revision higher than that, and propose it again; nothing was changed."
+    remedy = "Give the document a revision higher than that and propose it again; nothing was changed."
 
     def __init__(self, current: Version, proposed: Version) -> None:
-        super().__init__(f"{proposed} is proposed, and {current} has been prepared already")
+        super().__init__(f"{proposed} was proposed, but {current} has been prepared already")
         self.current = current
         self.proposed = proposed
 
 
 class NotLeaderError(ReplicatedConfigError):
-    """A proposal was made to another sender than the leader; two leaders would give out one revision twice.
+    """A proposal was made to a sender other than the leader; two leaders could assign one revision twice.
 
     Attributes:
-        leader: The name of the sender that takes proposals.
+        leader: The name of the sender that accepts proposals.
     """
 
-    remedy = "Propose it there; while that sender is away, what is in force stays."
+    remedy = "Propose it there; while that sender is down, the committed document stays in force."
 
     def __init__(self, leader: str) -> None:
-        super().__init__(f"proposals are taken by {leader}, the first of fleet.agreed.voters")
+        super().__init__(f"proposals are accepted only by {leader}, the first of fleet.agreed.voters")
         self.leader = leader
 
 
@@ -144,17 +148,18 @@
     Attributes:
         name: The name of the sender.
         folder_id: The id of its state folder.
-        listed_id: The id in the list of voters; empty where there is none.
+        listed_id: The id in the list of voters; empty if the list has none.
     """
 
     remedy = (
-        "If all senders start for the first time, write that id into fleet.agreed.voters at each. If the folder was "
-        "emptied, put it back; this sender follows the others until then, and must not vote under its old id."
+        "If all senders start for the first time, add that id to fleet.agreed.voters on each of them. If the folder "
+        "was emptied, restore it; until then this sender follows the others and must not vote under its old id."
     )
 
     def __init__(self, name: str, folder_id: str, listed_id: str) -> None:
         super().__init__(
-            f"{name} is no voter: its folder has the id {folder_id}, fleet.agreed.voters {listed_id or 'none'}"
+            f"{name} is not a voter: its state folder has the id {folder_id}, and fleet.agreed.voters lists "
+            f"{listed_id or 'no id'}"
         )
         self.name = name
         self.folder_id = folder_id
@@ -162,13 +167,13 @@
 
 
 class StateWriteError(ReplicatedConfigError):
-    """The state folder cannot be written.
+    """The state folder cannot be written to.
 
     Attributes:
         reason: What the operating system reported.
     """
 
-    remedy = "Make room in GW_STATE, or correct its permissions, and propose it again; nothing was changed."
+    remedy = "Free space in GW_STATE or correct its permissions, then propose it again; nothing was changed."
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"the document cannot be saved: {reason}")
@@ -182,7 +187,9 @@
         name: The name of the leader.
     """
 
-    remedy = "Propose it again once its log has said that it has begun; nothing was changed."
+    remedy = (
+        "Propose it again once the log of that sender has reported the change begun; nothing was changed."
+    )
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name} is starting or stopping")
--- a/kestreltrack/fleet/replicated_config/service.py
+++ b/kestreltrack/fleet/replicated_config/service.py
@@ -1,9 +1,9 @@
-"""The replicated configuration of one sender: its lifecycle, what it acts on, and the operators' commands.
+"""The replicated configuration of one sender: its lifecycle, the view to act on, and the operators' commands.
 
-The first of the voters is the leader: it takes proposals and commits them, by the promises that come with the voters'
-lease requests.  What it has stored on disk is the record, so that it continues after a restart; while it is away, no
-version changes.  Until the first document is in force nothing is ruled on, but a lease is needed all the same: that
-document may be in force elsewhere already.
+The first of the voters is the leader: it accepts proposals and commits them, by the promises that come with the
+voters' lease requests.  Its state on disk is the commit record, so it continues after a restart; while it is down, no
+version changes.  Until the first document is in force there are no rules, but a sender needs a lease all the same:
+the first document may already be in force elsewhere.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 INITIAL_STATE = StoredState(
     PersistentState(INITIAL_VERSION, INITIAL_VERSION), {INITIAL_VERSION: ConfigDocument("none", 0, 0)}
 )
-# What a sender that has not read its state folder, or has released it, acts on.
+# The view of a sender that has not read its state folder yet, or has released it.
 NO_VIEW = ConfigView(False, None)
 
 
@@ -40,7 +40,7 @@
     """The replicated configuration of one sender.
 
     Attributes:
-        fault: Why this sender does not vote, or has no lease at all; `None` where nothing is wrong.
+        fault: Why this sender does not vote or has no lease; `None` if nothing is wrong.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         clock: Clock,
         telemetry: Telemetry,
     ) -> None:
-        """Wire the parts together; nothing is read before `start`.
+        """Create a replica; its state folder is not read before `start`.
 
         Args:
             local_name: The name of this sender.
@@ -78,7 +78,7 @@
     # Lifecycle
 
     def start(self, process_start_ms: int) -> None:
-        """Read the state folder, once no other process of this sender uses it.
+        """Read the state folder; to be called once no other process of this sender uses it.
 
         Args:
             process_start_ms: The Unix time at which this process started, in milliseconds.
@@ -89,7 +89,7 @@
         """
         context = self._context
         stored = context.folder.load() or INITIAL_STATE
-        # The id of a new folder has to outlast the process before another sender learns it.
+        # The id of a new folder must be on disk before any other sender receives it.
         context.folder.save(stored.state, stored.documents)
         self._active = ActiveReplica(context, stored, process_start_ms)
         if context.local_name in context.voters and not self._active.is_voter:
@@ -99,14 +99,14 @@
         self._active.log("begun", f"folder {context.folder.id}")
 
     def close(self) -> None:
-        """Act on nothing more, and leave the folder to the next process of this sender.
+        """Stop acting on documents, and release the folder to the next process of this sender.
 
-        Voters take both processes for one sender.
+        To voters, both processes are the same sender.
         """
         self._active = None
 
     def tick(self) -> None:
-        """Do what is due; to be called about ten times a second."""
+        """Run the periodic work; to be called about ten times a second."""
         if self._active is not None and not self._is_enrolling:
             self._active.tick(self._clock())
 
@@ -118,10 +118,10 @@
         else:
             self._active.handle_packet(sender_name, packet)
 
-    # What is acted on
+    # View
 
     def view(self) -> ConfigView:
-        """Return what to act on at this moment."""
+        """Return the view to act on now."""
         active = self._active
         if active is None:
             return NO_VIEW
@@ -134,14 +134,14 @@
     # Operators
 
     def propose(self, document: ConfigDocument) -> None:
-        """Prepare a document; to propose it once more changes nothing.
+        """Prepare a document; proposing the same document again changes nothing.
 
         Raises:
             ReplicatedConfigError: Nothing has changed.
         """
         active = self._active
         if active is None or active.coordinator is None:
-            raise self.fault or self._not_proposable()
+            raise self.fault or self._proposal_error()
         check_supported(document)
         acknowledged = active.replica.state.acknowledged
         if document.version > acknowledged:
@@ -151,14 +151,14 @@
         if prepared is None or content_hash(prepared) != content_hash(document):
             raise RevisionTakenError(acknowledged, document.version)
 
-    def _not_proposable(self) -> ReplicatedConfigError:
+    def _proposal_error(self) -> ReplicatedConfigError:
         leader_name = self._context.leader_name
         if leader_name != self._context.local_name:
             return NotLeaderError(leader_name)
         return NotReadyError(self._context.local_name)
 
     def status(self) -> dict[str, Any]:
-        """Return what the command `fleet.agreed.show` prints; its keys are part of the admin socket's interface."""
+        """Return the result of the command `fleet.agreed.show`; its keys are part of the admin socket's interface."""
         fault = str(self.fault or "")
         voters = self._context.voters
         if self._active is None:
@@ -183,7 +183,7 @@
         }
 
     def gauges(self) -> dict[str, int]:
-        """Return the gauges by name."""
+        """Return the values of the gauges by name."""
         if self._active is None:
             return {"agreed_revision": 0, "agreed_leased": 0}
         return {
--- a/kestreltrack/fleet/replicated_config/transfer.py
+++ b/kestreltrack/fleet/replicated_config/transfer.py
@@ -1,4 +1,4 @@
-"""The transfer of one document from a voter, chunk by chunk.  No I/O."""
+"""The transfer of a document from a voter in chunks.  No I/O."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from kestreltrack.fleet.replicated_config.version import Version
 from kestreltrack.fleet.replicated_config.wire import Chunk, ChunkRequest, LeaseResponsePacket
 
-# Several round trips within a region; a datagram that has not arrived by then is lost.
+# Several round trips within a region; a chunk that has not arrived by then counts as lost.
 CHUNK_RETRY_MS = 300.0
 
 
 @dataclass(slots=True)
 class DocumentTransfer:
-    """A document that is being read from a voter.
+    """A document that is being received from a voter.
 
     Attributes:
-        voter_name: The voter that the next chunk is requested from.
+        voter_name: The voter from which the next chunk is requested.
         version: The version of the document.
         digest: Its versioned digest.
-        response: The voter's response that named it; it is handled once all its documents are here.
+        response: The voter's response that listed the document; handled once all its documents have arrived.
         requested_at: When the last chunk was requested, in milliseconds of this sender's clock.
-        data: The bytes that have arrived.
+        data: The bytes received so far.
     """
 
     voter_name: str
@@ -57,17 +57,19 @@
         return chunk.digest == self.digest and chunk.offset == len(self.data)
 
     def append(self, chunk: Chunk) -> bool:
-        """Add the next chunk, and return whether it was the last one; an empty chunk ends the transfer too."""
+        """Append the next chunk and return whether the transfer is complete; an empty chunk also ends it."""
         self.data += chunk.data
         return len(self.data) >= chunk.document_bytes or not chunk.data
 
     def document(self, voter_name: str) -> ConfigDocument:
-        """Return the document, the last chunk of which `voter_name` has sent.
+        """Return the document, whose last chunk came from `voter_name`.
 
         Raises:
-            InvalidDocumentError: The bytes are not the document that the voter named.
+            InvalidDocumentError: The bytes are not the document that the voter announced.
         """
         document = decode_document(bytes(self.data))
         if versioned_digest(document) != self.digest or document.version != self.version:
-            raise InvalidDocumentError("", f"what {voter_name} sent is not {self.digest}")
+            raise InvalidDocumentError(
+                "", f"the bytes received from {voter_name} do not match the digest {self.digest}"
+            )
         return document
--- a/kestreltrack/fleet/replicated_config/version.py
+++ b/kestreltrack/fleet/replicated_config/version.py
@@ -1,4 +1,4 @@
-"""Versions of documents."""
+"""The version of a document."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 
 
 class Version(NamedTuple):
-    """Versions are ordered by epoch, then by revision; staff raise the epoch when a store has lost revisions."""
+    """A version; ordered by epoch, then by revision.
+
+    Operators raise the epoch when a store has lost revisions.
+    """
 
     epoch: int
     revision: int
 
     def __str__(self) -> str:
-        """Return the version as operators read it."""
+        """Return the version as it appears in error messages."""
         return f"revision {self.revision} of epoch {self.epoch}"
 
 
-# The version that is in force before any document was.
+# The version in force before the first document is committed.
 INITIAL_VERSION = Version(0, 0)
--- a/kestreltrack/fleet/replicated_config/view.py
+++ b/kestreltrack/fleet/replicated_config/view.py
@@ -1,4 +1,4 @@
-"""What a sender acts on at a moment, and which documents senders act on so far."""
+"""The view that a sender acts on, and the check that senders support a document."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from kestreltrack.fleet.replicated_config.document import ConfigDocument, LimitSettings
 from kestreltrack.fleet.replicated_config.errors import InvalidDocumentError
 
-# The only list of classes or tenants that senders act on: a destination is served for all of them.
+# The only supported list of classes or tenants: a destination is served for all of them.
 WILDCARD = frozenset({"*"})
 
 
 class ConfigView(NamedTuple):
-    """What to act on; a sender without a lease serves no destination.
+    """What a sender acts on at one moment; a sender without a lease serves no destination.
 
     Attributes:
         has_lease: Whether this sender has a read lease.
-        document: The rules; `None`: no document is in force yet, and all destinations are served.
+        document: The rules; `None` if no document is in force yet: all destinations are then served.
     """
 
     has_lease: bool
@@ -31,15 +31,15 @@
 
 
 def check_supported(document: ConfigDocument) -> None:
-    """Check that senders act on all that a document says: else it would be in force in name only.
+    """Check that senders implement everything in a document; otherwise it would be committed without full effect.
 
     Raises:
-        InvalidDocumentError: Its `key` is the first key that no sender acts on.
+        InvalidDocumentError: Its `key` is the first unsupported key.
     """
     if document.assignments:
-        raise InvalidDocumentError("claims", "no sender acts on the claim map yet")
+        raise InvalidDocumentError("claims", "the claim map is not supported yet")
     if document.settings != LimitSettings():
-        raise InvalidDocumentError("settings", "no sender acts on agreed settings yet")
+        raise InvalidDocumentError("settings", "agreed settings are not supported yet")
     for name, rules in document.destinations.items():
         if not name.isdecimal():
             raise InvalidDocumentError(
@@ -48,5 +48,5 @@
         for key, names in (("classes", rules.classes), ("firms", rules.tenants)):
             if names != WILDCARD:
                 raise InvalidDocumentError(
-                    f"partners.{name}.{key}", 'expected ["*"]: destinations are served for all so far'
+                    f"partners.{name}.{key}", 'expected ["*"]: other lists are not supported yet'
                 )
--- a/kestreltrack/fleet/replicated_config/wire.py
+++ b/kestreltrack/fleet/replicated_config/wire.py
@@ -1,8 +1,7 @@
-"""Packets of the replicated configuration in membership's datagrams: bounded, typed (msgspec), behind a magic byte.
+"""Packets of the replicated configuration in membership's datagrams: bounded, typed (msgspec), after a magic byte.
 
-A voter's response carries what it has acknowledged and what is committed there, so that a sender that requests a
-lease also learns of each change.  Documents are sent in chunks, and are checked by version and hash when all chunks
-have arrived.
+A voter's response carries its acknowledged and its committed version, so a sender that requests leases also receives
+each change.  Documents are sent in chunks, and their version and hash are checked once all chunks have arrived.
 """
 
 from __future__ import annotations
@@ -14,9 +13,9 @@
 
 from kestreltrack.fleet.replicated_config.document import MAX_DOCUMENT_BYTES
 
-# No MessagePack value begins with this byte, so no other part of the fleet takes a packet for one of its own.
+# No MessagePack value starts with this byte, so no other protocol of the fleet mistakes a packet for its own.
 MAGIC_BYTE = b"\xc1"
-# The bytes of a document in one packet; membership leaves 1,000 bytes for a packet with its other fields.
+# The document bytes in one packet; membership allows 1,000 bytes for a packet, including its other fields.
 CHUNK_BYTES = 800
 
 FolderId = Annotated[str, Meta(max_length=64)]
@@ -28,7 +27,7 @@
 
 
 class LeaseRequestPacket(msgspec.Struct, array_like=True, frozen=True, tag="a"):
-    """A request to a voter for a lease on `acknowledged`; from a voter it is its promise too."""
+    """A request to a voter for a lease on `acknowledged`; if its sender is a voter, also its promise."""
 
     folder_id: FolderId
     seq: Count
@@ -37,7 +36,7 @@
 
 
 class LeaseResponsePacket(msgspec.Struct, array_like=True, frozen=True, tag="r"):
-    """A voter's response; with `seq` 0 it responds to no request, and only announces its versions."""
+    """A voter's response; with `seq` 0 it answers no request and only announces the voter's versions."""
 
     folder_id: FolderId
     seq: Count
@@ -49,14 +48,14 @@
 
 
 class ChunkRequest(msgspec.Struct, array_like=True, frozen=True, tag="w"):
-    """A request for the chunk of a document that begins at this byte."""
+    """A request for the chunk of a document that starts at `offset`."""
 
     digest: Digest
     offset: Size
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True, tag="c"):
-    """A part of a document of `document_bytes` bytes."""
+    """A part of a document, whose complete length is `document_bytes`."""
 
     digest: Digest
     offset: Size
@@ -71,12 +70,12 @@
 
 
 def encode_packet(packet: Packet) -> bytes:
-    """Return the packet as membership carries it."""
+    """Encode a packet for membership."""
     return MAGIC_BYTE + _ENCODE(packet)
 
 
 def decode_packet(data: bytes) -> Packet | None:
-    """Return the packet behind the magic byte; `None` where there is no valid one."""
+    """Decode the packet after the magic byte; `None` if it is not valid."""
     try:
         return _DECODE.decode(data[1:])
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
--- a/tests/test_replicated_config.py
+++ b/tests/test_replicated_config.py
@@ -251,7 +251,7 @@
     for path, data in ((document_path, b"{}"), (document_path, other), (tmp_path / STATE_FILE_NAME, b"")):
         before = path.read_bytes()
         path.write_bytes(data)
-        with pytest.raises(errors.StateUnreadableError, match="take the whole folder away"):
+        with pytest.raises(errors.StateUnreadableError, match="remove the whole folder"):
             StateFolder(tmp_path).load()
         path.write_bytes(before)
     assert StateFolder(tmp_path).load()
--- a/tests/test_replicated_config_processes.py
+++ b/tests/test_replicated_config_processes.py
@@ -121,7 +121,7 @@
 
 def test_an_excluded_destination_is_called_by_no_sender_until_it_is_served_again(tmp_path: Path) -> None:
     async def scenario(fleet: VotingFleet) -> None:
-        assert "proposals are taken by s1" in (await fleet.propose(2, at="s2", p1="moves"))["error"]
+        assert "proposals are accepted only by s1" in (await fleet.propose(2, at="s2", p1="moves"))["error"]
         assert "error" not in await fleet.propose(2, p1="moves")
         await fleet.wait_committed(2)
         # After these the calls that were in flight to the other destination have arrived too.
--- a/tests/test_replicated_config_service.py
+++ b/tests/test_replicated_config_service.py
@@ -147,7 +147,7 @@
 
 def test_a_document_that_a_folder_cannot_store_is_not_acted_on(network: Network) -> None:
     network.full_folders = {"a"}
-    with pytest.raises(StateWriteError, match="Make room in GW_STATE"):
+    with pytest.raises(StateWriteError, match="Free space in GW_STATE"):
         network.senders["a"].propose(document(1))
     network.full_folders = {"b", "c"}
     network.senders["a"].propose(document(1))
@@ -163,7 +163,7 @@
     for path in (network.path / "b").iterdir():
         path.unlink()
     network.senders["b"] = network.start("b")
-    assert "put it back" in str(network.senders["b"].fault)
+    assert "restore it" in str(network.senders["b"].fault)
     network.cut_off = {"c"}
     network.senders["a"].propose(document(1))
     network.run(9000)
