--- a/kestreltrack/fleet/quota_leases.py
+++ b/kestreltrack/fleet/quota_leases.py
@@ -1,24 +1,24 @@
-"""Sharing a budget among senders by deposits and grants, so that the sum is right in any partition.  No I/O.
+"""Shares a budget among senders by leases, so that their sum never exceeds it in any partition.  No I/O.
 
 The budget is 1.  Each sender owns a quota of it (one over the number of senders).  It reserves a fraction of its
-quota for itself and deposits the rest with one grantor at a time, for a limited time; the grantor grants what it has
-in deposits to the senders that demand more, never beyond the end of the deposits that back a grant.  So the usable
-quotas of all senders sum to the budget at most, whoever crashes, pauses, is cut off or restarts, and however many
-grantors there are:
-
-- a holder counts its deposit from when it sent the request, and takes it back, or gives it to another grantor, only
-  when that time is over (it may be in use until then); it begins with all but its reserve deposited, as the process
-  before it may have deposited that;
-- a grantor counts a deposit from when it sent the *response that the request answers*: before the request was made,
-  however long either was on its way.  No two clocks are compared.  A late or duplicated request counts for what is
-  left of it;
-- a response names the grantor's epoch (the start of its process) and a deposit names the epoch that it is for; a
-  grantor that has restarted does not know the response, and counts nothing for it;
-- a holder counts a grant from when it sent the request.
-
-Clocks may differ in rate by `clock_drift`.  The model is Doorman, global distributed client-side rate limiting
-(https://github.com/youtube/doorman), whose server instead waits for one lease duration after its start and depends on
-being the only one.  `testing/model_checking` explores all interleavings of these classes.
+quota for itself and deposits the rest with one grantor at a time, for a limited time.  The grantor grants the
+deposited quota to senders that demand more, for no longer than the deposits that back a grant.  The usable quotas of
+all senders therefore sum to at most the budget, whichever senders crash, pause, are partitioned or restart, and
+however many grantors there are:
+
+- A holder's deposit lasts from when it sent the request.  The holder uses it again, or deposits it with another
+  grantor, only after it has expired, since it may be in use until then.  A new process starts with all but its
+  reserve deposited, as the previous process may have deposited that.
+- A grantor counts a deposit from when it sent the *response that the request refers to*, which is before the request
+  was made, however long the messages took.  No two clocks are compared.  A late or duplicated request counts for the
+  remaining time.
+- A response carries the epoch of the grantor (the start of its process), and a deposit carries the epoch that it is
+  for.  A grantor that has restarted did not send that response, and counts nothing for the deposit.
+- A grant lasts from when its holder sent the request.
+
+Clock rates may differ by `clock_drift`.  The design follows Doorman, global distributed client-side rate limiting
+(https://github.com/youtube/doorman), whose server instead waits for one lease duration after its start and must be
+the only one.  `testing/model_checking` explores all interleavings of these classes.
 """
 
 from __future__ import annotations
@@ -28,38 +28,38 @@
 from enum import Enum
 from typing import NamedTuple, TypeVar
 
-# Requests that a holder remembers until they are answered: there are never more within the duration of a deposit.
+# Requests that a holder keeps until they are answered; fewer are made within the duration of a deposit.
 MAX_REMEMBERED_REQUESTS = 64
-# A grantor's table of the newest requests is cleaned when it is so many times as long as the table of demands.
+# A grantor prunes its table of the newest requests when it is this many times as long as its table of demands.
 LATEST_REQUESTS_SLACK = 4
 KeyT = TypeVar("KeyT", bound=Hashable)
 
 
 class InvalidLeaseParametersError(ValueError):
-    """Lease parameters under which nothing could be granted, or too much; the text says which to change."""
+    """With these lease parameters nothing could be granted, or too much; the message names the parameter."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLeaseParameters:
-    """Lease parameters, which all senders must have alike.
+    """Lease parameters, which must be the same at all senders.
 
-    Raises `InvalidLeaseParametersError` when a fraction is out of range or a grant does not end before its deposits.
+    Raises `InvalidLeaseParametersError` if a fraction is out of range or a grant does not end before its deposits.
     """
 
-    # A holder that has lost its grantor has all of its quota again after this time.  It counts from the response
-    # before the request, and there is one request a second: a grant of 2 s has to fit, and one request may be lost.
+    # A holder that has lost its grantor recovers its quota after this time.  It is counted from the response
+    # before the request, and there is one request a second: it has to fit a grant of 2 s and one lost request.
     deposit_ms: float = 5000.0
     grant_ms: float = 2000.0
-    # Fraction of its own quota that a sender never deposits.
+    # The fraction of its quota that a sender never deposits.
     reserved_fraction: float = 0.25
     # The largest relative difference between the rates of two clocks.
     clock_drift: float = 0.01
 
     def __post_init__(self) -> None:
-        """Check the parameters.
+        """Validate the parameters.
 
         Raises:
-            InvalidLeaseParametersError: Nothing could ever be granted with them.
+            InvalidLeaseParametersError: A parameter is out of range.
         """
         if not 0.0 <= self.reserved_fraction <= 1.0:
             raise InvalidLeaseParametersError(
@@ -77,19 +77,19 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaLeaseRequest:
-    """A holder's request; `epoch` and `response_number` are of the newest response (0 where none came)."""
+    """A holder's request; `epoch` and `response_number` are those of the newest response (0 if there is none)."""
 
     seq: int
     epoch: int
     response_number: int
     deposit: float
-    # What it could use beyond its reserve, as a fraction of the budget.
+    # What the holder could use beyond its reserve, as a fraction of the budget.
     demand: float
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLeaseResponse:
-    """A grantor's response; `response_number` counts its responses."""
+    """A grantor's response; `response_number` counts the responses of the grantor."""
 
     seq: int
     epoch: int
@@ -98,14 +98,14 @@
 
 
 class TimedAmount(NamedTuple):
-    """A fraction of the budget, and until when it counts."""
+    """A fraction of the budget, and when it expires."""
 
     amount: float
     until: float
 
 
 class HeldGrant(NamedTuple):
-    """A grant that a holder has, until when, and the request that it answers."""
+    """A grant that a holder has, when it expires, and the request that it answers."""
 
     amount: float
     until: float
@@ -120,15 +120,15 @@
 
 
 NO_GRANT = HeldGrant(0.0, 0.0, 0)
-# Stands for the unknown grantors of the processes before this one.
+# Stands for the unknown grantors of previous processes.
 UNKNOWN_GRANTOR = GrantorProcess("", 0)
 
 
 class GrantMode(Enum):
-    """How much of the deposits one request may be granted."""
+    """How much of the deposits may be granted for one request."""
 
     FAIR_SHARE = "fair share"
-    # All of it: one sender at a time has a grant.
+    # All deposits: one sender at a time has a grant.
     EXCLUSIVE = "exclusive"
     NOTHING = "nothing"
 
@@ -136,7 +136,7 @@
 def without_expired(
     rows_by_key: Mapping[KeyT, list[TimedAmount]], now: float
 ) -> dict[KeyT, list[TimedAmount]]:
-    """Return the amounts that still count, without the keys that have none."""
+    """Return the amounts that have not expired, without the keys that have none."""
     remaining = dict[KeyT, list[TimedAmount]]()
     for key, rows in rows_by_key.items():
         valid = [row for row in rows if row[1] > now]
@@ -152,19 +152,19 @@
     parameters: QuotaLeaseParameters
     own_quota: float
     started_at: float
-    # The present grantor, its epoch and the number of its newest response.
+    # The current grantor, its epoch and the number of its newest response.
     grantor: str = ""
     epoch: int = 0
     response_number: int = 0
-    # Should begin at the start of the process in ms: requests of a later process are then newer than all before it.
+    # Should start at the start of the process in ms, so that its requests are newer than those of previous processes.
     seq: int = 0
-    # When each request was made that is not answered.
+    # The time of each unanswered request.
     pending_requests: dict[int, float] = field(default_factory=dict)
     deposits: dict[GrantorProcess, list[TimedAmount]] = field(default_factory=dict)
     grant: HeldGrant = NO_GRANT
 
     def __post_init__(self) -> None:
-        """Count all but the reserve as deposited: a process before this one may have deposited it."""
+        """Count all but the reserve as deposited, as a previous process may have deposited it."""
         until = self.started_at + self._deposit_duration_ms()
         self.deposits.setdefault(UNKNOWN_GRANTOR, [TimedAmount(self._depositable_amount(), until)])
 
@@ -175,9 +175,10 @@
         return (1.0 - self.parameters.reserved_fraction) * self.own_quota
 
     def deposited_amount(self, now: float, excluding: tuple[str, int] | None = None) -> float:
-        """Return what grantors may count on.
+        """Return how much of the quota grantors may have granted.
 
-        Of the deposits with one grantor the largest counts, since the grantor uses the newest request that it has.
+        Of the deposits with one grantor the largest counts: the newest request that the grantor has may be any of
+        theirs.
         """
         return sum(
             max((amount for amount, until in rows if until > now), default=0.0)
@@ -186,7 +187,7 @@
         )
 
     def granted_amount(self, now: float) -> float:
-        """Return what is granted to this sender now."""
+        """Return the amount granted to this sender now."""
         return self.grant.amount if now < self.grant.until else 0.0
 
     def usable_quota(self, now: float) -> float:
@@ -194,12 +195,12 @@
         return max(0.0, self.own_quota - self.deposited_amount(now)) + self.granted_amount(now)
 
     def make_request(self, now: float, grantor: str, demand: float) -> QuotaLeaseRequest:
-        """Return the request to send to a grantor; the first one deposits nothing: that needs a response."""
+        """Return the request to send to a grantor; the first deposits nothing, as a deposit refers to a response."""
         self._select_grantor(grantor)
         self.deposits = without_expired(self.deposits, now)
         self._record_pending_request(now)
         if demand <= 0.0:
-            # The grant is given back: it is not used from now on, whatever response is still on its way.
+            # The grant is returned: it is not used from now on, whatever responses are still in flight.
             self.grant = HeldGrant(0.0, now, self.seq)
         deposit = self._make_deposit(now)
         return QuotaLeaseRequest(self.seq, self.epoch, self.response_number, deposit, demand)
@@ -218,7 +219,7 @@
             del self.pending_requests[oldest]
 
     def _make_deposit(self, now: float) -> float:
-        """Deposit with the present grantor what no other one may count on, and return the amount."""
+        """Deposit with the current grantor what is not deposited with others, and return the amount."""
         if not self.epoch:
             return 0.0
         grantor_process = GrantorProcess(self.grantor, self.epoch)
@@ -229,7 +230,7 @@
         return deposit
 
     def handle_response(self, now: float, grantor: str, response: QuotaLeaseResponse) -> None:
-        """Use a response; one that is late, duplicated, or of an older epoch changes nothing."""
+        """Handle a response; one that is late, duplicated, or of an older epoch is ignored."""
         requested_at = self.pending_requests.pop(response.seq, None)
         if requested_at is None or grantor != self.grantor or response.epoch < self.epoch:
             return
@@ -249,7 +250,7 @@
     parameters: QuotaLeaseParameters
     epoch: int
     response_number: int = 0
-    # When each response was sent.
+    # The time at which each response was sent, by number.
     response_times: dict[int, float] = field(default_factory=dict)
     # The sequence number of each sender's newest request.
     latest_request: dict[str, int] = field(default_factory=dict)
@@ -260,7 +261,7 @@
     def handle_request(
         self, now: float, sender: str, request: QuotaLeaseRequest, mode: GrantMode = GrantMode.FAIR_SHARE
     ) -> QuotaLeaseResponse | None:
-        """Return the response to a request; none to one that is older than another of that sender."""
+        """Return the response to a request; `None` if this or a newer request of the sender was handled before."""
         self._discard_expired(now)
         if request.seq <= self.latest_request.get(sender, 0):
             return None
@@ -276,7 +277,7 @@
         return QuotaLeaseResponse(request.seq, self.epoch, self.response_number, grant)
 
     def _record_deposit(self, sender: str, request: QuotaLeaseRequest) -> None:
-        """Count the deposit from the response that the request answers, if this process sent that response."""
+        """Count the deposit from the response that the request refers to, if this process sent that response."""
         responded_at = self.response_times.get(request.response_number)
         if request.epoch != self.epoch or responded_at is None:
             return
@@ -291,7 +292,7 @@
         self.deposits = {sender: row for sender, row in self.deposits.items() if row[1] > now}
         self.demands = {sender: row for sender, row in self.demands.items() if row[1] > now}
         self.grants = without_expired(self.grants, now)
-        # Senders that have stopped are forgotten.
+        # Discards the entries of senders that have stopped.
         if len(self.latest_request) > LATEST_REQUESTS_SLACK * max(MAX_REMEMBERED_REQUESTS, len(self.demands)):
             self.latest_request = {
                 sender: seq for sender, seq in self.latest_request.items() if sender in self.demands
@@ -301,12 +302,12 @@
         return now + self.parameters.grant_ms * (1.0 + self.parameters.clock_drift)
 
     def available_pool(self, now: float) -> float:
-        """Return the sum of the deposits that last for at least as long as a grant."""
-        ends = self._longest_grant_end(now)
-        return sum(amount for amount, until in self.deposits.values() if until >= ends)
+        """Return the sum of the deposits that do not expire before a grant made now."""
+        grant_end = self._longest_grant_end(now)
+        return sum(amount for amount, until in self.deposits.values() if until >= grant_end)
 
     def _grant_amount(self, now: float, sender: str, demand: float, mode: GrantMode) -> float:
-        """Grant a sender what the mode allows within the pool, and return the amount."""
+        """Grant a sender as much of its demand as the mode and the pool allow, and return the amount."""
         pool = self.available_pool(now)
         granted_to_others = sum(
             max(amount for amount, _ in rows) for other, rows in self.grants.items() if other != sender
@@ -327,17 +328,17 @@
 def fair_share(total: float, demands: dict[str, float], sender: str) -> float:
     """Return a sender's max-min fair share of a total (Bertsekas, Gallager, "Data Networks", section 6.5.2).
 
-    Those that demand less than an even share get their demand, the others split what is left.
+    Senders that demand less than an even share get their demand; the others split the rest.
     """
     remaining = total
-    open_demands = sorted(demands.items(), key=lambda row: row[1])
-    while open_demands:
-        name, demand = open_demands[0]
-        even_share = remaining / len(open_demands)
+    unmet_demands = sorted(demands.items(), key=lambda row: row[1])
+    while unmet_demands:
+        name, demand = unmet_demands[0]
+        even_share = remaining / len(unmet_demands)
         if demand > even_share:
             return even_share
         if name == sender:
             return demand
         remaining -= demand
-        open_demands.pop(0)
+        unmet_demands.pop(0)
     return 0.0
--- a/tests/test_quota_leases.py
+++ b/tests/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Quota leases: the sum of usable quotas over all interleavings to a depth, planted defects, and long random runs."""
+"""Quota leases: the sum of usable quotas over all interleavings to a depth, mutants, and long random runs."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
         found = explore(first, depth)
 
         assert not found.trace and found.depth == depth and found.states > 1_000
-        assert found.max_used == pytest.approx(1.0), "the complete budget is used in some state"
+        assert found.max_used == pytest.approx(1.0), "some state uses the complete budget"
 
 
-# Planted defects -----------------------------------------------------------------------------------
+# Mutants: variants of the classes with one defect each ---------------------------------------------
 
 HANDLE_REQUEST = LeaseGrantor.handle_request
 GRANT_AMOUNT = LeaseGrantor._grant_amount
@@ -51,7 +51,7 @@
 def count_deposit_from_arrival(
     self: LeaseGrantor, now: float, sender: str, request: QuotaLeaseRequest
 ) -> QuotaLeaseResponse | None:
-    """A deposit counts from when the request arrived."""
+    """Count a deposit from when the request arrives."""
     self.response_times[request.response_number] = now
     return HANDLE_REQUEST(self, now, sender, request)
 
@@ -59,7 +59,7 @@
 def ignore_epoch(
     self: LeaseGrantor, now: float, sender: str, request: QuotaLeaseRequest
 ) -> QuotaLeaseResponse | None:
-    """A deposit of any epoch counts; a restarted grantor continues the numbers of the process before it."""
+    """Count a deposit of any epoch, as if a restarted grantor had sent the responses of the previous process."""
     self.response_times.setdefault(request.response_number, now)
     of_this_epoch = QuotaLeaseRequest(
         request.seq, self.epoch, request.response_number, request.deposit, request.demand
@@ -70,20 +70,20 @@
 def grant_from_the_budget(
     self: LeaseGrantor, now: float, sender: str, demand: float, mode: GrantMode
 ) -> float:
-    """Grants come from the complete budget, whatever the deposits are."""
+    """Grant from the complete budget, whatever the deposits are."""
     self.deposits = {"everybody": TimedAmount(1.0, now + 1e9)}
     return GRANT_AMOUNT(self, now, sender, demand, mode)
 
 
 def deposit_again_at_once(self: LeaseHolder, now: float, excluding: tuple[str, int] | None = None) -> float:
-    """Only the deposits with the present grantor count: another one gets them at once."""
+    """Ignore the deposits with other grantors, so that the quota is deposited with a new grantor at once."""
     return DEPOSITED_AMOUNT(self, now, excluding) if not excluding else 0.0
 
 
 def count_grant_from_arrival(
     self: LeaseHolder, now: float, grantor: str, response: QuotaLeaseResponse
 ) -> None:
-    """A grant counts from when the response arrived."""
+    """Count a grant from when the response arrives."""
     if response.seq in self.pending_requests:
         self.pending_requests[response.seq] = now
     HANDLE_RESPONSE(self, now, grantor, response)
@@ -92,7 +92,7 @@
 def keep_using_returned_grant(
     self: LeaseHolder, now: float, grantor: str, demand: float
 ) -> QuotaLeaseRequest:
-    """A grant that was given back is used until it expires."""
+    """Use a grant until it expires, although it was returned."""
     grant = self.grant
     request = MAKE_REQUEST(self, now, grantor, demand)
     self.grant = grant
@@ -100,38 +100,53 @@
 
 
 def restart_without_deposits(state: LeaseState, sender: int) -> None:
-    """A restarted process uses its complete quota at once."""
+    """Start a new process that uses its complete quota at once."""
     restart_process(state, sender)
     state.holders[sender].deposits.clear()
 
 
-# The class, its method, the defect that replaces it, and the crashes that it takes to show.
-DEFECTS: dict[str, tuple[type, str, Callable[..., object], int]] = {
-    "a deposit counts from its arrival": (LeaseGrantor, "handle_request", count_deposit_from_arrival, 0),
+# The class, its method, the replacement of the method, and the number of crashes needed to detect it.
+MUTANTS: dict[str, tuple[type, str, Callable[..., object], int]] = {
+    "deposit counted from the arrival of the request": (
+        LeaseGrantor,
+        "handle_request",
+        count_deposit_from_arrival,
+        0,
+    ),
     "no epoch": (LeaseGrantor, "handle_request", ignore_epoch, 1),
-    "granted from the budget, not from deposits": (LeaseGrantor, "_grant_amount", grant_from_the_budget, 0),
-    "deposited again before the old deposit is over": (
+    "grants from the budget instead of the deposits": (
+        LeaseGrantor,
+        "_grant_amount",
+        grant_from_the_budget,
+        0,
+    ),
+    "deposited again before the old deposit expires": (
         LeaseHolder,
         "deposited_amount",
         deposit_again_at_once,
         0,
     ),
-    "a grant is used after it was given back": (LeaseHolder, "make_request", keep_using_returned_grant, 0),
-    "a grant counts from its arrival": (LeaseHolder, "handle_response", count_grant_from_arrival, 0),
+    "grant used after it was returned": (LeaseHolder, "make_request", keep_using_returned_grant, 0),
+    "grant counted from the arrival of the response": (
+        LeaseHolder,
+        "handle_response",
+        count_grant_from_arrival,
+        0,
+    ),
 }
 
 
-@pytest.mark.parametrize("name", DEFECTS)
-def test_planted_defect_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    owner, method, defect, crashes = DEFECTS[name]
+@pytest.mark.parametrize("name", MUTANTS)
+def test_mutant_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    owner, method, replacement, crashes = MUTANTS[name]
     grantors = 2 if "deposited again" in name else 1
     first = initial_state(2, grantors, max_crashes=crashes, max_duplicates=0, after_first_response=True)
-    if "deposit counts" in name:
-        # The shortest trace has seven steps: the first two are taken here.
+    if "deposit counted" in name:
+        # The shortest trace has seven steps, of which the first two are taken here.
         first.requests_in_flight.append((0, 0, first.holders[0].make_request(0.0, "k0", 0.0)))
         first.now = 1.0
     assert not explore(first, depth=3).trace
-    monkeypatch.setattr(owner, method, defect)
+    monkeypatch.setattr(owner, method, replacement)
 
     found = explore(first, depth=6, max_states=60_000)
 
@@ -140,7 +155,7 @@
     )
 
 
-def test_restarted_process_that_uses_its_complete_quota_at_once_is_found() -> None:
+def test_a_restarted_process_that_uses_its_complete_quota_at_once_is_detected() -> None:
     first = initial_state(2, 1, 1, 0, after_first_response=True)
 
     found = explore(first, depth=6, max_states=60_000, restart=restart_without_deposits)
@@ -153,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class InFlight:
-    """A request or response on its way."""
+    """A request or response in flight."""
 
     arrives_at: float
     sender: int
@@ -167,7 +182,7 @@
 
 
 class RandomRun:
-    """Senders that all are grantors as well, with clocks of different rates, over an unreliable network."""
+    """Senders that are all grantors as well, with clocks of different rates, over an unreliable network."""
 
     COUNT = 8
 
@@ -189,7 +204,7 @@
         return self.clock_offsets[member] + self.clock_rates[member] * self.now
 
     def step(self) -> list[float]:
-        """Let some time pass and something happen; return what each sender may use."""
+        """Advance the time and one sender, and return the usable quota of each sender."""
         self.now += self.random.expovariate(1.0 / 15.0)
         member = self.random.randrange(self.COUNT)
         if self.now >= self.paused_until[member]:
@@ -209,7 +224,7 @@
         grantor = member % 2 if views_differ else grantor_of_all
         demand = self.random.choice((0.0, 0.0, 0.0, 0.05, 0.05, 1.0)) if member else 1.0
         request = self.holders[member].make_request(self.clock(member), f"k{grantor}", demand)
-        self.post(member, grantor, True, request)
+        self.send(member, grantor, True, request)
 
     def restart(self, member: int) -> None:
         self.restarts += 1
@@ -228,18 +243,20 @@
             self.deliver(packet)
 
     def deliver(self, packet: InFlight) -> None:
-        sender, grantor, message = packet.sender, packet.grantor, packet.message
+        sender = packet.sender
+        grantor = packet.grantor
+        message = packet.message
         if isinstance(message, QuotaLeaseRequest):
             response = self.grantors[grantor].handle_request(self.clock(grantor), f"s{sender}", message)
             if response:
-                self.post(sender, grantor, False, response)
+                self.send(sender, grantor, False, response)
         else:
             self.holders[sender].handle_response(self.clock(sender), f"k{grantor}", message)
 
-    def post(
+    def send(
         self, sender: int, grantor: int, is_request: bool, message: QuotaLeaseRequest | QuotaLeaseResponse
     ) -> None:
-        """Put a packet on its way: it is lost, late by seconds, or duplicated."""
+        """Put a packet in flight; it may be lost, delayed by seconds, or duplicated."""
         if self.random.random() < 0.1:
             return
         late = self.random.random() >= 0.95
@@ -252,7 +269,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_sum_holds_over_long_runs_with_late_lost_duplicated_packets_and_clocks_one_percent_apart(
+def test_the_sum_stays_within_the_budget_with_packet_loss_delays_duplicates_and_one_percent_clock_drift(
     seed: int,
 ) -> None:
     run = RandomRun(seed)
@@ -263,10 +280,10 @@
         largest_quota = max(largest_quota, *quotas)
         assert sum(quotas) <= MAX_TOTAL_SHARE, f"{sum(quotas)} at {run.now}"
 
-    assert largest_quota > 2.0 / RandomRun.COUNT and run.restarts, "quota was shared at all"
+    assert largest_quota > 2.0 / RandomRun.COUNT and run.restarts, "quota is shared and processes restart"
 
 
-# One side at a time --------------------------------------------------------------------------------
+# Single cases --------------------------------------------------------------------------------------
 
 
 def test_unused_quota_is_granted_to_others_and_returns_when_the_grantor_crashes() -> None:
@@ -283,7 +300,7 @@
 
     assert holders[0].usable_quota(3003.0) > 0.6 and holders[1].usable_quota(3003.0) == pytest.approx(0.0625)
     assert holders[0].usable_quota(3000.0 + 2000.0) == pytest.approx(0.0625), (
-        "its grant is over, its deposit not yet"
+        "its grant has expired, its deposit has not"
     )
     assert [holder.usable_quota(3000.0 + 5051.0) for holder in holders] == [0.25] * 4
 
