--- a/tests/test_replicated_config.py
+++ b/tests/test_replicated_config.py
@@ -1,4 +1,4 @@
-"""Documents: which changes are incompatible, what both documents allow, which are rejected, and the state folder."""
+"""Configuration documents: incompatible changes, intersections, validation and successors; the state folder."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(("path", "value", "key"), CHANGES)
-def test_incompatible_changes_are_distinguished_from_compatible_ones_by_key(
+def test_each_changed_key_is_classified_as_compatible_or_incompatible(
     path: str, value: Any, key: str
 ) -> None:
     new = changed(path, value)
@@ -109,7 +109,7 @@
 @given(any_documents, any_documents)
 @settings(max_examples=200, deadline=None)
 def test_the_intersection_contradicts_neither_document(old: ConfigDocument, new: ConfigDocument) -> None:
-    """Whoever acts on it does nothing that the others, on the old or the new, may not do or rely on."""
+    """A sender on the intersection does nothing that senders on the old or the new document may not do or rely on."""
     both = intersection(old, new)
     for other in (old, new):
         assert served(both) <= served(other)
@@ -127,7 +127,7 @@
 
 
 def served(document: ConfigDocument) -> set[tuple[str, str, str]]:
-    """Return each destination, class and tenant that a document lets senders serve."""
+    """Return each combination of destination, class and tenant that a document lets senders serve."""
     return {
         (name, message_class, tenant)
         for name, rules in document.destinations.items()
@@ -137,7 +137,7 @@
     }
 
 
-def test_a_sender_without_a_lease_starts_nothing_that_a_document_rules_on() -> None:
+def test_a_sender_without_a_lease_starts_nothing_that_a_document_regulates() -> None:
     restricted = compatibility.without_lease(BASE)
     assert not served(restricted)
     assert not any(assignment.home for assignment in restricted.assignments.values())
@@ -173,8 +173,9 @@
         documents.decode_document(data)
 
 
-def test_a_store_with_an_older_or_another_version_is_rejected_with_a_remedy() -> None:
-    current, digest = BASE.version, documents.content_hash(BASE)
+def test_an_older_version_or_conflicting_content_from_the_store_is_rejected_with_a_remedy() -> None:
+    current = BASE.version
+    digest = documents.content_hash(BASE)
     documents.check_successor(current, digest, BASE)
     documents.check_successor(current, digest, changed("partners.7.out", "x"))
     cases: list[tuple[ConfigDocument, type[errors.ReplicatedConfigError], str]] = [
@@ -191,16 +192,17 @@
             documents.check_successor(current, digest, received)
         assert type(rejection.value) is error_type
     assert documents.content_hash(msgspec.structs.replace(BASE, revision=9)) == digest, (
-        "a content that is restored has the hash that it had"
+        "restored content has its original hash"
     )
 
 
-# The state folder --------------------------------------------------------------------------------
+# State folder -----------------------------------------------------------------------------------
 
 
 def test_stored_state_is_read_after_a_restart_and_an_emptied_folder_gets_another_id(tmp_path: Path) -> None:
     new = changed("partners.7.out", "x")
-    state, by_version = PersistentState(BASE.version, new.version), {BASE.version: BASE, new.version: new}
+    state = PersistentState(BASE.version, new.version)
+    by_version = {BASE.version: BASE, new.version: new}
     folder = StateFolder(tmp_path)
     assert folder.load() is None and folder.id
     folder.save(PersistentState(BASE.version, BASE.version), by_version)
@@ -215,9 +217,10 @@
 
 
 @pytest.mark.parametrize("fails_at", range(3))
-def test_a_write_that_fails_leaves_the_state_that_was_stored_before(tmp_path: Path, fails_at: int) -> None:
-    """A process is killed, or a disk is full, at any write."""
-    new, written = changed("partners.7.out", "x"), list[Path]()
+def test_a_failed_write_leaves_the_previously_stored_state(tmp_path: Path, fails_at: int) -> None:
+    """The disk is full, or the process is killed, at each of the writes."""
+    new = changed("partners.7.out", "x")
+    written = list[Path]()
     folder = StateFolder(tmp_path)
     folder.load()
     folder.save(PersistentState(BASE.version, BASE.version), {BASE.version: BASE})
@@ -242,7 +245,7 @@
     assert stored and stored[0] == expected
 
 
-def test_a_folder_that_cannot_be_read_is_not_taken_for_a_new_one(tmp_path: Path) -> None:
+def test_an_unreadable_folder_is_not_treated_as_a_new_one(tmp_path: Path) -> None:
     folder = StateFolder(tmp_path)
     folder.load()
     folder.save(PersistentState(BASE.version, BASE.version), {BASE.version: BASE})
--- a/tests/test_replicated_config_processes.py
+++ b/tests/test_replicated_config_processes.py
@@ -1,4 +1,4 @@
-"""Processes of senders under one document: a change is committed, a sender is cut off, the leader is killed."""
+"""Sender processes with a replicated document: commits, a partitioned sender, and a restart of the leader."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 VOTERS = ("s1", "s2", "s3")
 
 
-def enrol(folder: Path, name: str) -> str:
-    """Return the id of a sender's folder, as a first start would leave it there."""
+def create_state_folder(folder: Path, name: str) -> str:
+    """Create a sender's state folder as its first start does, and return its entry in the list of voters."""
     path = folder / name / "state"
     path.mkdir(parents=True)
     state_folder = StateFolder(path)
@@ -35,10 +35,10 @@
 
 
 class VotingFleet(Fleet):
-    """Four senders with messages for two destinations; three of them vote, `s1` is the leader."""
+    """Four senders with load for two destinations; three of them are voters, and `s1` is the leader."""
 
     def __init__(self, folder: Path) -> None:
-        voters = ",".join(enrol(folder, name) for name in VOTERS)
+        voters = ",".join(create_state_folder(folder, name) for name in VOTERS)
         super().__init__(
             folder,
             SETTINGS | {"balancers": SENDER_COUNT},
@@ -57,21 +57,21 @@
         ]
 
     async def propose(self, revision: int, at: str = "s1", **excluded: str) -> dict[str, Any]:
-        """Propose to serve both destinations, but for those named with a reason."""
+        """Propose a document with both destinations; `p1="reason"` excludes the first one."""
         rows = {str(n): {"classes": ["*"], "firms": ["*"], "out": excluded.get(f"p{n}", "")} for n in (1, 2)}
         path = self.folder / f"{revision}.json"
         path.write_text(json.dumps({"name": "fleet", "epoch": 1, "revision": revision, "partners": rows}))
         return await asyncio.to_thread(send_command, self.admin_socket(at), "fleet.agreed.propose", str(path))
 
-    async def command(self, *words: str) -> dict[str, Any]:
+    async def run_command(self, *arguments: str) -> dict[str, Any]:
         socket = str(self.admin_socket("s1"))
-        arguments = ["-m", "kestreltrack", "fleet", "agreed", *words, "--socket", socket]
+        command_line = ["-m", "kestreltrack", "fleet", "agreed", *arguments, "--socket", socket]
         process = await asyncio.create_subprocess_exec(
-            sys.executable, *arguments, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+            sys.executable, *command_line, cwd=ROOT, stdout=asyncio.subprocess.PIPE
         )
         output, _ = await process.communicate()
-        answer: dict[str, Any] = json.loads(output)
-        return answer
+        response: dict[str, Any] = json.loads(output)
+        return response
 
     def changes(self, name: str, change: str, revision: int) -> list[dict[str, Any]]:
         key = "force" if change == "in force" else "acknowledged"
@@ -81,17 +81,20 @@
         for name in names or self.names:
             await self.wait_until(
                 lambda n=name: bool(self.changes(n, "in force", revision)),  # type: ignore[misc]
-                f"{revision} at {name}",
+                f"the commit of revision {revision} at {name}",
             )
 
     def call_count(self, uid: str, sender_prefix: str = "") -> int:
         return sum(message.startswith(sender_prefix) for _, message in self.endpoints[uid].calls)
 
     async def wait_calls(self, uid: str, count: int, names: Iterable[str] | None = None) -> None:
-        """Wait for this many more calls of each of these senders to a destination."""
-        enough = {name: self.call_count(uid, f"{name}m") + count for name in names or self.names}
+        """Wait until each of these senders has made `count` more calls to a destination."""
+        expected_counts = {name: self.call_count(uid, f"{name}m") + count for name in names or self.names}
         await self.wait_until(
-            lambda: all(self.call_count(uid, f"{n}m") >= e for n, e in enough.items()), f"calls to {uid}"
+            lambda: all(
+                self.call_count(uid, f"{name}m") >= expected for name, expected in expected_counts.items()
+            ),
+            f"calls to {uid}",
         )
 
     def stored_versions(self, name: str) -> list[list[int]]:
@@ -119,12 +122,12 @@
     asyncio.run(run())
 
 
-def test_an_excluded_destination_is_called_by_no_sender_until_it_is_served_again(tmp_path: Path) -> None:
+def test_no_sender_calls_an_excluded_destination_until_it_is_included_again(tmp_path: Path) -> None:
     async def scenario(fleet: VotingFleet) -> None:
         assert "proposals are accepted only by s1" in (await fleet.propose(2, at="s2", p1="moves"))["error"]
         assert "error" not in await fleet.propose(2, p1="moves")
         await fleet.wait_committed(2)
-        # After these the calls that were in flight to the other destination have arrived too.
+        # By then, calls to the excluded destination that were in flight have arrived.
         await fleet.wait_calls("p2", 2)
         calls = fleet.call_count("p1")
         accepted = {name: len(fleet.load_generators[name].results.accepted) for name in fleet.names}
@@ -133,36 +136,37 @@
         assert all(len(fleet.load_generators[name].results.accepted) > n for name, n in accepted.items())
         for name in fleet.names:
             assert len(fleet.changes(name, "in force", 2)) == 1
-        prepared = [name for name in VOTERS if fleet.changes(name, "prepared", 2)]
-        assert len(prepared) >= 2, "a majority acts on the intersection before the commit"
+        prepared_voters = [name for name in VOTERS if fleet.changes(name, "prepared", 2)]
+        assert len(prepared_voters) >= 2, "a majority acts on the intersection before the commit"
         assert "has been prepared already" in (await fleet.propose(1))["error"]
         await fleet.propose(3)
         await fleet.wait_committed(3)
         await fleet.wait_calls("p1", 2)
-        # By the command, as staff do it.
-        answer = await fleet.command("propose", str(fleet.folder / "3.json"), "--json")
-        assert answer["acknowledged"] == [1, 3] and answer["keeper"] == "s1", answer
+        # The command that operators use.
+        response = await fleet.run_command("propose", str(fleet.folder / "3.json"), "--json")
+        assert response["acknowledged"] == [1, 3] and response["keeper"] == "s1", response
 
     run_scenario(tmp_path, scenario)
 
 
-def test_the_lease_of_a_sender_that_is_cut_off_lapses_before_others_act_on_a_change(tmp_path: Path) -> None:
+def test_the_lease_of_a_partitioned_sender_lapses_before_others_act_on_a_change(tmp_path: Path) -> None:
     async def scenario(fleet: VotingFleet) -> None:
         for voter in VOTERS:
             fleet.links.inject("s4", voter, LinkFault(cut=True))
         await fleet.propose(2, p1="moves")
         await fleet.wait_committed(2, VOTERS)
         await fleet.wait_until(
-            lambda: bool(fleet.log_records("s4", "replicated_config", change="lapsed")), "that it lapses"
+            lambda: bool(fleet.log_records("s4", "replicated_config", change="lapsed")),
+            "the lapse of the lease of s4",
         )
         lapsed = fleet.log_records("s4", "replicated_config", change="lapsed")[-1]
-        assert lapsed["force"] == lapsed["acknowledged"] == [1, 1], "it has received no change"
-        first = min(fleet.changes(name, "in force", 2)[0]["at"] for name in VOTERS)
-        assert lapsed["until"] < first
+        assert lapsed["force"] == lapsed["acknowledged"] == [1, 1], "s4 has not received the change"
+        first_commit = min(fleet.changes(name, "in force", 2)[0]["at"] for name in VOTERS)
+        assert lapsed["until"] < first_commit
         await fleet.wait_calls("p2", 2, VOTERS)
         calls = {uid: fleet.call_count(uid, "s4m") for uid in ("p1", "p2")}
         await fleet.wait_calls("p2", 8, VOTERS)
-        assert {uid: fleet.call_count(uid, "s4m") for uid in ("p1", "p2")} == calls, "it starts nothing"
+        assert {uid: fleet.call_count(uid, "s4m") for uid in ("p1", "p2")} == calls, "s4 starts no calls"
         fleet.links.heal()
         await fleet.wait_committed(2, ["s4"])
         await fleet.wait_calls("p2", 3, ["s4"])
@@ -171,18 +175,19 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_a_leader_killed_between_prepare_and_commit_continues_from_its_folder(tmp_path: Path) -> None:
+def test_a_leader_killed_between_prepare_and_commit_resumes_from_its_state_folder(tmp_path: Path) -> None:
     async def scenario(fleet: VotingFleet) -> None:
         for other in ("s2", "s3"):
-            # No majority can promise anything.
+            # Without these links, no majority of voters can promise.
             fleet.links.inject("s1", other, LinkFault(cut=True))
         await fleet.propose(2, p1="moves")
-        assert fleet.stored_versions("s1") == [[1, 1], [1, 2]], "on disk before the answer"
+        assert fleet.stored_versions("s1") == [[1, 1], [1, 2]], "stored before the response to the proposal"
         await fleet.signal(["s1"], SIGKILL)
         await fleet.wait_ended(fleet.senders["s1"])
         await fleet.start("s1")
         await fleet.wait_until(
-            lambda: len(fleet.log_records("s1", "replicated_config", change="begun")) == 2, "that it reads"
+            lambda: len(fleet.log_records("s1", "replicated_config", change="begun")) == 2,
+            "the restart of s1 with its state folder",
         )
         begun = fleet.log_records("s1", "replicated_config", change="begun")[-1]
         assert (begun["force"], begun["acknowledged"]) == ([1, 1], [1, 2])
@@ -193,17 +198,17 @@
     run_scenario(tmp_path, scenario)
 
 
-def test_an_upgrade_of_the_leader_continues_with_its_folder(tmp_path: Path) -> None:
+def test_an_upgraded_leader_takes_over_the_state_folder_of_the_old_process(tmp_path: Path) -> None:
     async def scenario(fleet: VotingFleet) -> None:
         await fleet.start_successor("s1")
         old = fleet.previous_processes["s1"]
         assert not fleet.log_records("s1", "replicated_config"), (
-            "the older process has the folder until it stops"
+            "the old process holds the folder until it stops"
         )
         await old.signal(SIGTERM)
         await fleet.wait_until(
             lambda: bool(fleet.log_records("s1", "replicated_config", change="begun")),
-            "that it reads the folder",
+            "the takeover of the state folder by the new process of s1",
         )
         assert fleet.log_records("s1", "replicated_config", change="begun")[0]["force"] == [1, 1]
         await fleet.wait_for_membership(fleet.names)
--- a/tests/test_replicated_config_service.py
+++ b/tests/test_replicated_config_service.py
@@ -1,4 +1,4 @@
-"""The replicated configuration of several senders without processes: large documents, state folders, proposals."""
+"""Several senders in one process: transfer of large documents, state folders, proposals, malformed packets."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 def document(revision: int, count: int = 1, exclusion_reason: str = "") -> ConfigDocument:
-    """Return a document that lists the destinations 0 to `count`."""
+    """Return a document that lists `count` destinations, numbered from 0."""
     rules = DestinationRules(ALL, ALL, exclusion_reason=exclusion_reason)
     return ConfigDocument("fleet", 1, revision, destinations={str(n): rules for n in range(count)})
 
 
 class MemberLinks:
-    """The part of membership that a sender uses, over the queue of the network."""
+    """The messaging interface of membership for one sender, over the queue of the network."""
 
     def __init__(self, network: Network, local_name: str) -> None:
         self.network = network
@@ -56,13 +56,13 @@
 
 
 class Network:
-    """Four senders, three of them voters, on one clock; datagrams arrive in order, unless a sender is cut off."""
+    """Four senders, three of them voters, on one clock; datagrams arrive in order unless a sender is partitioned."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.now = 1000.0
         self.queue = list[tuple[str, str, bytes]]()
-        self.cut_off = set[str]()
+        self.partitioned = set[str]()
         self.full_folders = set[str]()
         self.largest_datagram_bytes = 0
         self.telemetry = Telemetry("t")
@@ -81,7 +81,7 @@
         return StateFolder(path, write)
 
     def new_folder_id(self, name: str) -> str:
-        """Start a sender once while the voters are not known, as operators do, and return its folder's id."""
+        """Start a sender once while no folder id is configured, as operators do, and return the id of its folder."""
         folder = self.folder(name)
         self.config(name, {name: ""}, folder).start(1)
         return folder.id
@@ -98,7 +98,7 @@
         )
 
     def start(self, name: str) -> ReplicatedConfig:
-        """Start a process of a sender, once before under no voters, as an emptied folder gets its id then."""
+        """Start a sender twice, as an empty folder gets its id in the first start, in which no voter has an id."""
         self.new_folder_id(name)
         sender = self.config(name, self.voters, self.folder(name))
         sender.start(int(self.now))
@@ -113,7 +113,7 @@
             while self.queue:
                 source, target, data = self.queue.pop(0)
                 self.largest_datagram_bytes = max(self.largest_datagram_bytes, len(data))
-                if not {source, target} & self.cut_off:
+                if not {source, target} & self.partitioned:
                     self.senders[target].receive(source, data)
 
     def committed(self, name: str) -> Version:
@@ -132,14 +132,14 @@
     return network
 
 
-def test_a_large_document_is_sent_in_chunks_to_all_and_to_a_sender_that_was_cut_off(network: Network) -> None:
-    network.cut_off = {"d"}
+def test_a_large_document_is_sent_in_chunks_also_to_a_sender_that_was_partitioned(network: Network) -> None:
+    network.partitioned = {"d"}
     network.senders["a"].propose(document(1, 2000))
     network.run(5000)
     assert [network.committed(name) for name in NAMES] == [Version(1, 1)] * 3 + [Version(0, 0)]
     assert network.senders["a"].view().serves(1999) and not network.senders["a"].view().serves(2000)
     assert not network.senders["d"].view().serves(1)
-    network.cut_off = set()
+    network.partitioned = set()
     network.run(2000)
     assert network.committed("d") == Version(1, 1) and network.senders["d"].view().serves(1999)
     assert network.largest_datagram_bytes <= MAX_USER_MESSAGE_BYTES
@@ -164,17 +164,17 @@
         path.unlink()
     network.senders["b"] = network.start("b")
     assert "restore it" in str(network.senders["b"].fault)
-    network.cut_off = {"c"}
+    network.partitioned = {"c"}
     network.senders["a"].propose(document(1))
     network.run(9000)
     assert network.committed("a") == Version(0, 0), "one of three is no majority"
     assert not network.senders["d"].view().has_lease
-    network.cut_off = set()
+    network.partitioned = set()
     network.run(2000)
     assert {network.committed(name) for name in NAMES} == {Version(1, 1)}
 
 
-def test_a_process_that_stops_leaves_the_folder_alone_and_starts_nothing(network: Network) -> None:
+def test_a_closed_replica_rejects_proposals_and_has_no_lease_until_restarted(network: Network) -> None:
     network.senders["a"].propose(document(1))
     network.senders["a"].close()
     with pytest.raises(NotReadyError, match="Propose it again"):
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         ('[fleet.agreed]\nvoters = ["a"]\n', "fleet.agreed.voters: expected together with fleet.listen"),
         (
@@ -242,6 +242,6 @@
         ('[fleet.agreed]\nlease_ms = "x"\n', "fleet.agreed.lease_ms: expected"),
     ],
 )
-def test_an_invalid_key_of_the_operators_file_is_named(tmp_path: Path, text: str, words: str) -> None:
-    with pytest.raises(ConfigError, match=words):
+def test_an_invalid_key_of_the_operators_file_is_named(tmp_path: Path, text: str, message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
         load_operator_config(file(tmp_path, text))
