--- a/kestreltrack/capture/replay.py
+++ b/kestreltrack/capture/replay.py
@@ -1,4 +1,4 @@
-"""Repeats the decisions of a capture with the present decision module, and compares every answer."""
+"""Replays a capture with the current decision module and compares each answer with the captured one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 P = TypeVar("P", bound=Policy)
 
-# What people read as the operation of a record, by the kind of the record.
+# The operation names that commands print, by kind of record.
 OPERATION_NAMES = {
     records.FILE_HEADER: "began",
     records.CHECKPOINT: "checkpoint",
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Divergence:
-    """The first answer that differs."""
+    """The first answer that differs from the captured one."""
 
     file: Path
     record: int
@@ -41,36 +41,37 @@
     expected: Any
     actual: Any
     destinations: dict[int, Any] = field(default_factory=dict)
-    """The states of the destinations that the last events named."""
+    """The states of the destinations involved: that of a permission, and those of messages in
+    `Replayer.events_since_decision`."""
 
 
 @dataclass(slots=True)
 class ReplayResult:
-    """The outcome of a replay."""
+    """The result of a replay."""
 
     files: int = 0
     records: int = 0
     compared: int = 0
-    """The number of answers that were compared."""
+    """The number of answers compared."""
     events: Counter[str] = field(default_factory=Counter)
     digests: set[str] = field(default_factory=set)
-    """The digests of the decision code that captured."""
+    """The digests of the decision code that produced the capture."""
     faults: list[str] = field(default_factory=list)
-    """Where the capture was corrupt."""
+    """The places where the capture is corrupt, and the checkpoints that cannot be restored."""
     divergence: Divergence | None = None
     span_ms: float = 0.0
     took_s: float = 0.0
 
     def identical(self) -> bool:
-        """Return whether all that could be read was answered as captured."""
+        """Return whether every record that could be read was answered as captured."""
         return self.divergence is None
 
 
 class Replayer(Generic[P]):
-    """One decision module that is given the records of a capture."""
+    """Applies the records of a capture to one decision module."""
 
     def __init__(self, policy_type: type[P], on_restored: Callable[[P], None] | None = None) -> None:
-        """Wait for a checkpoint; `on_restored` receives each decision module that one restores."""
+        """Start without a decision module; the first checkpoint restores one, and `on_restored` receives it."""
         self.policy: P | None = None
         self.events_since_decision: list[Event] = []
         self.last_actions: Sequence[Action] = ()
@@ -79,7 +80,7 @@
         self._on_restored = on_restored
 
     def apply_step(self, step: Step) -> tuple[Any, Any] | None:
-        """Apply one record of a capture as `apply_record` does; after a gap wait for the next checkpoint."""
+        """Apply one record as `apply_record` does; after a gap, skip the records up to the next checkpoint."""
         if step.after_gap:
             self.policy = None
             self.events_since_decision.clear()
@@ -124,14 +125,17 @@
 
     @staticmethod
     def _call_or_error(call: Callable[[], Any]) -> Any:
-        """Return the result of a call, or its exception: the sender goes on after one, and so does a replay."""
+        """Return the result of a call, or the exception that it raised.
+
+        The sender continues after an exception of the decision module, so a replay does too.
+        """
         try:
             return call()
         except Exception as error:
             return error
 
     def _restore_or_compare(self, record: Record) -> tuple[Any, Any] | None:
-        """Restore the first checkpoint; compare each later one with the state that was reached."""
+        """Restore the first checkpoint; compare each later one with the state that the replay has reached."""
         state = decode(record.payload)
         if self.policy is None:
             self.policy = restore_as(state, self._policy_type)
@@ -151,14 +155,14 @@
     speed: float = 0.0,
     on_step: Callable[[Step], None] | None = None,
 ) -> ReplayResult:
-    """Replay files in order; after a gap the replay goes on at the next checkpoint.
+    """Replay files in order; after a gap the replay continues at the next checkpoint.
 
-    `since` and `until` are times as `CaptureFiles.parse_time` reads them: the replay begins at the last checkpoint
-    before.  `speed` is so many times real time, 0 for as fast as possible.  `on_step` receives each record before it
-    is applied.
+    `since` and `until` are times in the forms of `CaptureFiles.parse_time`; the replay begins at the last checkpoint
+    before `since`.  `speed` is a multiple of real time, 0 for as fast as possible.  `on_step` receives each record
+    before it is applied.
 
     Raises:
-        CaptureError: A file is not a capture, or a time has no known form.
+        CaptureError: A file is not a capture, or a time has an unknown form.
         OSError: A file cannot be read.
     """
     capture = CaptureFiles(list(files))
@@ -179,12 +183,12 @@
 
 
 class _ReplayRun:
-    """The progress of one replay."""
+    """The state of one replay."""
 
     def __init__(self, speed: float) -> None:
         self.result = ReplayResult()
         self.skipped_file: Path | None = None
-        """A file that holds a checkpoint which cannot be restored."""
+        """The file whose checkpoint could not be restored last; the rest of it is skipped."""
         self._speed = speed
         self._replayer = Replayer(Policy)
         self._started_s = time.perf_counter()
@@ -201,7 +205,7 @@
             self.result.compared += 1
 
     def keep_pace(self, clock: float) -> None:
-        """Wait until a clock reading is due at the speed that is asked for."""
+        """Sleep until a clock reading is due at the requested speed."""
         if not clock:
             return
         if self._first_clock is None:
@@ -212,7 +216,7 @@
             time.sleep(max(0.0, self.result.span_ms / 1000.0 / self._speed - elapsed_s))
 
     def apply(self, step: Step) -> None:
-        """Apply a record and note a difference; skip the rest of a file that cannot be restored."""
+        """Apply a record and store a divergence; skip the rest of a file whose checkpoint cannot be restored."""
         try:
             difference = self._replayer.apply_step(step)
         except SnapshotError as error:
@@ -225,6 +229,7 @@
             self.result.divergence = _divergence(step, expected, actual, self._replayer)
 
     def finish(self, corruptions: list[str]) -> ReplayResult:
+        """Return the result, with the corruptions that the reader found."""
         self.result.faults += corruptions
         self.result.took_s = time.perf_counter() - self._started_s
         return self.result
--- a/kestreltrack/capture/resimulate.py
+++ b/kestreltrack/capture/resimulate.py
@@ -1,10 +1,10 @@
-"""Simulates the input of a capture, or a part of it, with new decisions, so that the answers are consistent again.
+"""Runs the decision module again, in virtual time, on the input of a capture or on a part of it.
 
-The answers in a capture fit only its complete input: without one message the decision module sends the others at
-other times.  So the input is separated into what does not depend on the decisions (arrivals, withdrawals, endpoint
-lists, the shutdown) and what answers its attempts: how long each took and how it ended.  The decision module then
-runs on a virtual clock against that; an attempt that the capture does not know ends as the last one of its endpoint
-did.  All clock readings and durations are milliseconds.
+The responses in a capture are consistent only with its complete input: if one message is left out, the decision
+module sends the others at other times.  So the input is split into external events, which do not depend on decisions
+(arrivals, withdrawals, endpoint lists, the shutdown), and the outcome and duration of each attempt.  An attempt that
+the capture does not contain gets the outcome of the previous attempt at its endpoint.  All clock readings and
+durations are milliseconds.
 """
 
 from __future__ import annotations
@@ -38,27 +38,27 @@
 from kestreltrack.snapshot.codec import restore, take_snapshot
 from kestreltrack.snapshot.state import PolicyState, decode, encode
 
-# The time between decisions, as the dispatcher of the sender has it.
+# The minimum time between decisions, the same as in the dispatcher of the sender.
 DECISION_INTERVAL_MS = 5.0
-# The duration of an attempt at an endpoint that never answered in the capture.
+# The duration of an attempt that the capture does not contain, at an endpoint without an earlier outcome.
 DEFAULT_ATTEMPT_MS = 50.0
-# The time until a cancelled attempt has ended.
+# The time from the cancellation of an attempt to its end.
 CANCEL_DELAY_MS = 0.1
-# The timeout of attempts that were in flight at the start: their own is not in the checkpoint.
+# The timeout of attempts that were in flight at the start: a checkpoint does not contain their timeouts.
 RECOVERED_TIMEOUT_MS = 60_000.0
-# A decision module that never comes to rest is stopped here.
+# Ends the simulation of a decision module that never becomes idle.
 MAX_STEPS = 50_000_000
-# Records in one block of a capture that is written.
+# The number of records in each block of a written capture.
 RECORDS_PER_BLOCK = 2000
 
 
 class ResimulationError(CaptureError):
-    """The capture cannot be simulated: it has gaps, or the present decision module answers otherwise."""
+    """The capture cannot be resimulated: it has a gap or no checkpoint, or the current decision module diverges."""
 
 
 @dataclass(frozen=True, slots=True)
 class CapturedOutcome:
-    """How long one attempt took and how it ended."""
+    """The duration and the outcome of one attempt."""
 
     duration_ms: float
     event: AttemptEnded
@@ -66,37 +66,37 @@
 
 @dataclass(frozen=True, slots=True)
 class CapturedInput:
-    """The input of a capture, separated from the decisions."""
+    """The input of a capture, without the decisions."""
 
     initial_state: PolicyState
     file_header: records.FileHeader
     external_events: tuple[tuple[float, Event], ...]
     attempt_outcomes: dict[tuple[str, int], CapturedOutcome]
     start_clock: float
-    """The clock reading of the checkpoint; the state has none where no event had been handled yet."""
+    """The clock reading of the checkpoint; the one in the state is unset if no event had been handled before."""
     end_clock: float
 
     def message_ids(self) -> list[str]:
-        """Return the ids of the messages that arrive, in order."""
+        """Return the ids of the messages that arrive, in order of arrival."""
         return [event.id for _, event in self.external_events if isinstance(event, MessageArrived)]
 
     def destinations(self) -> list[int]:
-        """Return the numbers of the destinations that the state or an event names."""
-        known = dict.fromkeys(d.number for d in self.initial_state.dests)
+        """Return the numbers of the destinations in the initial state and in the events."""
+        numbers = dict.fromkeys(d.number for d in self.initial_state.dests)
         for _, event in self.external_events:
             if isinstance(event, MessageArrived):
-                known[event.dest] = None
+                numbers[event.dest] = None
             elif isinstance(event, EndpointsUpdated):
-                known.update(dict.fromkeys(entry.dest for entry in event.entries))
-        return list(known)
+                numbers.update(dict.fromkeys(entry.dest for entry in event.entries))
+        return list(numbers)
 
 
 def extract_input(files: list[Path], since: str | None = None, until: str | None = None) -> CapturedInput:
-    """Separate the input of a capture without gaps from the decisions, which the present module must repeat.
+    """Extract the input of a capture without gaps; the current decision module must repeat the captured decisions.
 
     Raises:
         ResimulationError: The capture has a gap or no checkpoint, or the decisions differ.
-        InvalidTimeError: `since` or `until` has no known form.
+        InvalidTimeError: `since` or `until` has an unknown form.
     """
     capture = CaptureFiles(files)
     start = capture.checkpoint_at(capture.parse_time(since)) if since else None
@@ -107,7 +107,7 @@
 
 
 class _Extraction:
-    """The progress of `extract_input`."""
+    """The state of one `extract_input`."""
 
     def __init__(self) -> None:
         self._replayer = Replayer(Policy)
@@ -121,13 +121,13 @@
         self._attempts = dict[str, int]()
 
     def handle_step(self, step: Step) -> None:
-        """Take one record, and check the decision in it."""
+        """Apply one record, and compare the decision if it holds one."""
         record = step.record
         if record.kind == records.FILE_HEADER and self._file_header is None:
             self._file_header = record.payload
         if step.after_gap and self._state is not None:
             raise ResimulationError(
-                f"{step.file}: a gap before record {step.record_number}: name the files behind it alone"
+                f"{step.file}: a gap before record {step.record_number}: pass only the files after the gap"
             )
         if record.kind == records.CHECKPOINT and self._state is None:
             self._begin(record.clock, decode(record.payload))
@@ -135,7 +135,7 @@
             self._handle_event(record.clock, record.payload)
         if self._replayer.apply_step(step) is not None:
             raise ResimulationError(
-                f"{step.file}: record {step.record_number}: the present module does not do as captured"
+                f"{step.file}: record {step.record_number}: the running decision module differs from the captured one"
             )
         if record.kind == records.DECISION:
             self._handle_actions(record.clock)
@@ -146,7 +146,9 @@
         self._start_clock = clock
         self._attempts = {m.id: m.tries for m in state.messages}
         for call in state.calls:
-            self._sent_at.update({(id_, attempt): call.sent for id_, attempt in call.parts.items()})
+            self._sent_at.update(
+                {(message_id, attempt): call.sent for message_id, attempt in call.parts.items()}
+            )
 
     def _handle_event(self, now: float, event: Event) -> None:
         if isinstance(event, AttemptEnded):
@@ -168,9 +170,13 @@
                 self._attempts[action.id] = attempt + 1
 
     def finish(self) -> CapturedInput:
-        """Return what was taken."""
+        """Return the extracted input.
+
+        Raises:
+            ResimulationError: The capture has no checkpoint.
+        """
         if self._state is None:
-            raise ResimulationError("it holds no checkpoint to begin with")
+            raise ResimulationError("the capture contains no checkpoint to start from")
         header = self._file_header
         if header is None:
             header = records.FileHeader(records.FORMAT_VERSION, "", "", "", 0.0, True)
@@ -189,7 +195,7 @@
 
 @dataclass(slots=True)
 class Resimulation:
-    """The outcome of a simulation: all events and decisions, in order."""
+    """The result of a simulation: all events and decisions, in order."""
 
     settings: Settings
     initial_state: PolicyState
@@ -205,13 +211,13 @@
                     yield now, action
 
     def write_capture(self, file: Path) -> None:
-        """Write a capture of one file, which replays identically with the module that decided here."""
+        """Write a capture of one file, which replays identically with the decision module of this simulation."""
         header = self.file_header
         encoded = [
             records.encode_file_header(header.sender, header.wall_ms, True, 0, header.hashed),
             records.encode_checkpoint(self.start_clock, encode(self.initial_state)),
         ]
-        # The clock readings of the blocks are those of the steps; the two records before these have none.
+        # The clock readings of a block are those of its steps; the file header and the checkpoint have none.
         clocks = [self.start_clock, self.start_clock]
         for now, step in self.steps:
             clocks.append(now)
@@ -231,13 +237,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Decide:
-    """The decision module is due to decide."""
+class _DecisionDue:
+    """A decision is due."""
 
 
 @dataclass(frozen=True, slots=True)
 class _AttemptDue:
-    """An attempt is due to end; `captured` is the outcome that it follows, where it follows one."""
+    """The end of an attempt is due; `captured` is the captured outcome that it repeats, if any."""
 
     message_id: str
     attempt: int
@@ -245,11 +251,11 @@
     captured: AttemptEnded | None = None
 
 
-_Due = _Decide | _AttemptDue | Event
+_ScheduledItem = _DecisionDue | _AttemptDue | Event
 
 
 class _Simulation:
-    """A decision module on a virtual clock, and what is still due."""
+    """A decision module in virtual time, with the queue of scheduled items."""
 
     def __init__(self, captured_input: CapturedInput, policy: Policy) -> None:
         self.captured_input = captured_input
@@ -257,39 +263,41 @@
         self.resimulation = Resimulation(
             policy.settings, take_snapshot(policy), captured_input.file_header, captured_input.start_clock
         )
-        self._agenda = list[tuple[float, int, _Due]]()
+        self._schedule_queue = list[tuple[float, int, _ScheduledItem]]()
         self._sequence = 0
         self._decision_due = False
         self._decided_at = captured_input.start_clock
         self._attempts = {m.id: m.attempts for m in policy.messages.values()}
         self._in_flight = dict[tuple[str, int], tuple[float, str]]()
-        """For each attempt its start and its endpoint."""
+        """The start and the endpoint of each attempt in flight."""
         self._final_ids = set[str]()
         self._last_outcome_of = dict[str, CapturedOutcome]()
-        """By endpoint."""
+        """The captured outcome that was used last, by endpoint."""
         for at, event in captured_input.external_events:
             self._schedule(at, event)
-        for (id_, attempt), (call, _) in policy.calls.items():
-            self._start_attempt(call.started_at, id_, attempt, call.endpoint.name, RECOVERED_TIMEOUT_MS)
+        for (message_id, attempt), (call, _) in policy.calls.items():
+            self._start_attempt(
+                call.started_at, message_id, attempt, call.endpoint.name, RECOVERED_TIMEOUT_MS
+            )
         if policy.timer_is_set:
             self._schedule(captured_input.start_clock + DECISION_INTERVAL_MS, TimerExpired(0))
 
-    def _schedule(self, at: float, due: _Due) -> None:
-        # The sequence number keeps the order of what is due at the same time.
+    def _schedule(self, at: float, item: _ScheduledItem) -> None:
+        # The sequence number keeps the order of items that are due at the same time.
         self._sequence += 1
-        heapq.heappush(self._agenda, (at, self._sequence, due))
+        heapq.heappush(self._schedule_queue, (at, self._sequence, item))
 
     def run(self) -> Resimulation:
-        """Run to the end of the input, and until no message and no attempt is left."""
+        """Run to the end of the input, and on until no message and no attempt is left."""
         end_clock = self.captured_input.end_clock
         for _ in range(MAX_STEPS):
-            if not self._agenda:
+            if not self._schedule_queue:
                 break
-            at, _, due = heapq.heappop(self._agenda)
+            at, _, due = heapq.heappop(self._schedule_queue)
             if at > end_clock and not (self.policy.messages or self._in_flight):
                 break
             now = max(at, self.policy.now, self.captured_input.start_clock)
-            if isinstance(due, _Decide):
+            if isinstance(due, _DecisionDue):
                 self._decide(now)
             elif isinstance(due, _AttemptDue):
                 self._end_attempt(now, due)
@@ -310,10 +318,10 @@
         self.policy.handle(now, event)
         if not self._decision_due:
             self._decision_due = True
-            self._schedule(max(now, self._decided_at + DECISION_INTERVAL_MS), _Decide())
+            self._schedule(max(now, self._decided_at + DECISION_INTERVAL_MS), _DecisionDue())
 
     def _handle_external(self, now: float, event: Event) -> None:
-        """Handle an event of the input, but for the withdrawal of a message that is final or was left out."""
+        """Handle an event of the input, except the withdrawal of a message that the decision module does not hold."""
         if isinstance(event, MessageArrived):
             self._attempts[event.id] = event.attempts
             self._final_ids.discard(event.id)
@@ -351,7 +359,7 @@
             self._schedule(now + captured.duration_ms, due)
 
     def _captured_outcome(self, message_id: str, attempt: int, endpoint: str) -> CapturedOutcome:
-        """Return how an attempt ends: as captured, as the last one of its endpoint, or well."""
+        """Return the captured outcome, else the last one of the endpoint, else a success."""
         captured = self.captured_input.attempt_outcomes.get((message_id, attempt))
         if captured is None:
             captured = self._last_outcome_of.get(endpoint)
@@ -361,7 +369,7 @@
         return captured
 
     def _end_attempt(self, now: float, due: _AttemptDue) -> None:
-        """Handle the end of an attempt, unless it has ended before."""
+        """Handle the end of an attempt, unless it has already ended."""
         in_flight = self._in_flight.pop((due.message_id, due.attempt), None)
         if in_flight is None:
             return
@@ -384,5 +392,5 @@
 def resimulate(
     captured_input: CapturedInput, restore_policy: Callable[[PolicyState], Policy] = restore
 ) -> Resimulation:
-    """Simulate an input with a decision module that begins in its state."""
+    """Simulate an input with a decision module that starts in its initial state."""
     return _Simulation(captured_input, restore_policy(captured_input.initial_state)).run()
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -146,7 +146,7 @@
 
 def test_a_capture_that_the_module_decides_otherwise_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Policy, "blocking_rule", lambda self, dest: "cap")
-    with pytest.raises(ResimulationError, match="does not do as captured"):
+    with pytest.raises(ResimulationError, match="the running decision module differs from the captured one"):
         extract_input([FOLDER / "drain.ktc"])
 
 
