--- a/kestreltrack/capture/shrink.py
+++ b/kestreltrack/capture/shrink.py
@@ -1,7 +1,8 @@
-"""Reduces a capture to a small one that still shows a property, by delta debugging over its input.
+"""Reduces a capture to a small one that still shows a property, by delta debugging of its input.
 
 The algorithm is `ddmin` of Zeller and Hildebrandt, Simplifying and Isolating Failure-Inducing Input (IEEE TSE 28(2),
-2002), applied in turn to destinations, messages, other events and the end of the input, until none gets smaller.
+2002), applied in turn to destinations, messages and other events, with the end of the input moved forward by a binary
+search, until a round leaves nothing out.
 """
 
 from __future__ import annotations
@@ -34,12 +35,12 @@
 
 
 class PropertyNotShownError(CaptureError):
-    """The complete capture does not show the property."""
+    """The complete input does not show the property."""
 
 
 @dataclass(slots=True)
 class ShrinkResult:
-    """The reduced input, and what it took to find it."""
+    """The reduced input and the cost of the reduction."""
 
     captured_input: CapturedInput
     resimulation: Resimulation
@@ -49,15 +50,15 @@
     size_before: tuple[int, int, int]
     """The numbers of destinations, messages and steps."""
     size_after: tuple[int, int, int]
-    """The same, of what is left."""
+    """The same numbers for the reduced input."""
     complete: bool = True
-    """Whether nothing more can be left out; false where a limit ended the search."""
+    """Whether the search ran to its end; false if a limit stopped it."""
 
 
 def ddmin(items: Sequence[T], holds: Callable[[Sequence[T]], bool]) -> list[T]:
-    """Return a part of the items for which `holds` is true and from which no single one can be left out.
+    """Return a 1-minimal subset of the items for which `holds` is true: no single item can be left out.
 
-    `holds` must be true for all items together.
+    `holds` must be true for the complete sequence.
     """
     kept = list(items)
     parts = 2
@@ -66,12 +67,12 @@
     while len(kept) > 1:
         size = -(-len(kept) // parts)
         chunks = [kept[at : at + size] for at in range(0, len(kept), size)]
-        for n, chunk in enumerate(chunks):
+        for index, chunk in enumerate(chunks):
             if len(chunks) > 2 and holds(chunk):
                 kept = chunk
                 parts = 2
                 break
-            rest = [item for other in (*chunks[:n], *chunks[n + 1 :]) for item in other]
+            rest = [item for other in (*chunks[:index], *chunks[index + 1 :]) for item in other]
             if holds(rest):
                 kept = rest
                 parts = max(parts - 1, 2)
@@ -84,7 +85,7 @@
 
 
 def restrict_state(state: PolicyState, dests: set[int]) -> PolicyState:
-    """Return the state of a decision module with these destinations alone."""
+    """Return the state of a decision module reduced to these destinations."""
     messages = [message for message in state.messages if message.dest in dests]
     message_ids = {message.id for message in messages}
     calls = [number for number, call in enumerate(state.calls) if call.dest in dests]
@@ -99,13 +100,15 @@
         busy=[number for number in state.busy if number in dests],
         leaving=[number for number in state.leaving if number in dests],
         messages=messages,
-        keys=[_restrict_key_line(line, message_ids) for line in state.keys if line.key in keys],
+        keys=[
+            _restrict_key_queue(key_queue, message_ids) for key_queue in state.keys if key_queue.key in keys
+        ],
         ends=[end for end, _ in ends],
         orders=[order for _, order in ends],
         calls=[state.calls[number] for number in calls],
         parts=[
-            (id_, attempt, renumbered[call], key)
-            for id_, attempt, call, key in state.parts
+            (message_id, attempt, renumbered[call], key)
+            for message_id, attempt, call, key in state.parts
             if call in renumbered
         ],
         out=len(calls),
@@ -114,7 +117,7 @@
 
 
 def _restrict_destination(dest: DestinationState, renumbered: dict[int, int]) -> DestinationState:
-    """Return a destination whose calls have their new numbers."""
+    """Return a destination with its calls renumbered."""
     endpoints = [
         msgspec.structs.replace(
             endpoint,
@@ -133,12 +136,14 @@
     return msgspec.structs.replace(guard, trial=renumbered.get(guard.trial))
 
 
-def _restrict_key_line(line: KeyQueueState, message_ids: set[str]) -> KeyQueueState:
-    return msgspec.structs.replace(line, queue=[id_ for id_ in line.queue if id_ in message_ids])
+def _restrict_key_queue(key_queue: KeyQueueState, message_ids: set[str]) -> KeyQueueState:
+    return msgspec.structs.replace(
+        key_queue, queue=[message_id for message_id in key_queue.queue if message_id in message_ids]
+    )
 
 
 def restrict_to_destinations(captured_input: CapturedInput, dests: Sequence[int]) -> CapturedInput:
-    """Return the part of an input that concerns these destinations."""
+    """Return an input reduced to these destinations."""
     chosen = set(dests)
     left_out = set[str]()
     events = list[tuple[float, Event]]()
@@ -154,7 +159,7 @@
 
 
 def _restrict_event(event: Event, dests: set[int], left_out: set[str]) -> Event | None:
-    """Return what is left of an event, and note the messages that are left out."""
+    """Return an event reduced to these destinations, or None; update the ids of the messages left out."""
     if isinstance(event, MessageArrived):
         if event.dest not in dests:
             left_out.add(event.id)
@@ -172,7 +177,7 @@
 
 
 def restrict_to_messages(captured_input: CapturedInput, ids: Sequence[str]) -> CapturedInput:
-    """Return an input with these messages of those that arrive."""
+    """Return an input in which, of the arriving messages, only these arrive."""
     left_out = set(captured_input.message_ids()) - set(ids)
     events = [
         (at, event)
@@ -188,7 +193,7 @@
 
 
 def _truncate(captured_input: CapturedInput, count: int) -> CapturedInput:
-    """Return an input that ends with its first events."""
+    """Return an input with only its first `count` events, which ends with the last of them."""
     events = captured_input.external_events[:count]
     end_clock = events[-1][0] if events else captured_input.start_clock
     return replace(captured_input, external_events=events, end_clock=end_clock)
@@ -204,9 +209,9 @@
         max_s: float,
         on_run: Callable[[int, CapturedInput], None] | None = None,
     ) -> None:
-        """Take the property and the limits in simulations and in seconds.
+        """Set the property and the limits, in simulations and in seconds.
 
-        `on_run` receives after each simulation their number so far, and the input of this one.
+        `on_run` receives, after each simulation, the number of simulations so far and the input of this one.
         """
         self.runs = 0
         self._holds = holds
@@ -218,7 +223,7 @@
         """The results of earlier simulations, by the hash of their input."""
 
     def shrink(self, captured_input: CapturedInput) -> ShrinkResult:
-        """Return the smallest input that is found within the limits.
+        """Return the smallest input found within the limits.
 
         Raises:
             PropertyNotShownError: The complete input does not show the property.
@@ -226,11 +231,11 @@
         first = resimulate(captured_input)
         self.runs += 1
         if not self._holds(first):
-            raise PropertyNotShownError("the whole day, played anew, does not show it")
+            raise PropertyNotShownError("the complete input, resimulated, does not show the property")
         size_before = _size(captured_input, first)
-        restrictable = 0
-        while restrictable != _restrictable_count(captured_input) and not self._budget_exhausted():
-            restrictable = _restrictable_count(captured_input)
+        item_count = 0
+        while item_count != _item_count(captured_input) and not self._budget_exhausted():
+            item_count = _item_count(captured_input)
             captured_input = self._shrink_once(captured_input)
         last = resimulate(captured_input)
         return ShrinkResult(
@@ -244,12 +249,12 @@
         )
 
     def _shrink_once(self, captured_input: CapturedInput) -> CapturedInput:
-        """Reduce each kind of item once, the largest first."""
-        reduced = self._end_earlier(captured_input)
+        """Run one round: each kind of item once, the largest first."""
+        reduced = self._shorten(captured_input)
         reduced = self._minimise(reduced, reduced.destinations(), restrict_to_destinations)
         reduced = self._minimise(reduced, reduced.message_ids(), restrict_to_messages)
         reduced = self._minimise(reduced, list(range(len(reduced.external_events))), _restrict_to_events)
-        return self._end_earlier(reduced)
+        return self._shorten(reduced)
 
     def _minimise(
         self,
@@ -260,8 +265,8 @@
         kept = ddmin(items, lambda part: self._still_holds(restrict(captured_input, part)))
         return restrict(captured_input, kept)
 
-    def _end_earlier(self, captured_input: CapturedInput) -> CapturedInput:
-        """Return an input that ends as early as a binary search finds."""
+    def _shorten(self, captured_input: CapturedInput) -> CapturedInput:
+        """Return an input that ends as early as possible, found by binary search."""
         low = 0
         high = len(captured_input.external_events)
         while low < high and not self._budget_exhausted():
@@ -276,7 +281,7 @@
         return shorter if self._still_holds(shorter) else captured_input
 
     def _still_holds(self, captured_input: CapturedInput) -> bool:
-        """Return whether a reduced input shows the property; false where the limits are reached."""
+        """Return whether a reduced input shows the property; false once a limit is reached."""
         key = hash(
             (
                 tuple((at, repr(event)) for at, event in captured_input.external_events),
@@ -304,35 +309,35 @@
     return destinations, len(captured_input.message_ids()), len(resimulation.steps)
 
 
-def _restrictable_count(captured_input: CapturedInput) -> int:
+def _item_count(captured_input: CapturedInput) -> int:
     return len(captured_input.external_events) + len(captured_input.initial_state.dests)
 
 
 # Properties ----------------------------------------------------------------------------------------
 
 
-def message_ends_as(id_: str, expected_end: str) -> Property:
-    """Return the property that a message ends as `delivered`, `refused`, `failed`, or `none` by the end."""
+def message_ends_as(message_id: str, expected_end: str) -> Property:
+    """Return the property that a message ends as `delivered`, `refused`, `failed`, or `none` (no final answer)."""
 
     def shows(resimulation: Resimulation) -> bool:
-        return _end_of_message(resimulation, id_) == expected_end
+        return _end_of_message(resimulation, message_id) == expected_end
 
     return shows
 
 
-def _end_of_message(resimulation: Resimulation, id_: str) -> str | None:
-    """Return how a message ended after its last arrival, or nothing where it never arrived."""
+def _end_of_message(resimulation: Resimulation, message_id: str) -> str | None:
+    """Return how a message ended after its last arrival, or None if it never arrived."""
     end: str | None = None
     for _, step in resimulation.steps:
-        if isinstance(step, MessageArrived) and step.id == id_:
+        if isinstance(step, MessageArrived) and step.id == message_id:
             end = "none"
-        elif isinstance(step, AttemptEnded) and step.id == id_ and step.outcome is Outcome.OK:
+        elif isinstance(step, AttemptEnded) and step.id == message_id and step.outcome is Outcome.OK:
             end = "delivered" if end == "none" else end
         elif isinstance(step, list):
             final_answers = [
                 action
                 for action in step
-                if isinstance(action, RejectMessage | FailMessage) and action.id == id_
+                if isinstance(action, RejectMessage | FailMessage) and action.id == message_id
             ]
             if final_answers and end is not None:
                 end = "refused" if isinstance(final_answers[-1], RejectMessage) else "failed"
@@ -340,7 +345,7 @@
 
 
 def violates_invariant(text: str) -> Property:
-    """Return the property that a rule of `invariants/sender.py` is violated whose text holds these words."""
+    """Return the property that an invariant of `invariants/sender.py` is violated whose error contains `text`."""
 
     def shows(resimulation: Resimulation) -> bool:
         checker = SenderInvariants(resimulation.settings)
@@ -359,7 +364,10 @@
 
 
 def differs_from_version(file: Path, differs: Callable[[Path], bool]) -> Property:
-    """Return the property that another version decides otherwise; `differs` says so of a capture in this file."""
+    """Return the property that another version decides differently.
+
+    `differs` tests this on a capture, which is written to `file`.
+    """
 
     def shows(resimulation: Resimulation) -> bool:
         resimulation.write_capture(file)
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -160,8 +160,8 @@
     assert code == 0 and json.loads(told)["after"]["messages"] == 1 and replay([out]).identical()
     for shows, expected, words in (
         ("end:m42=lost", 2, "expected end:ID=WORD"),
-        ("end:m99=refused", 1, "does not show it"),
-        ("rule:two attempts", 1, "does not show it"),
+        ("end:m99=refused", 1, "the complete input, resimulated, does not show the property"),
+        ("rule:two attempts", 1, "the complete input, resimulated, does not show the property"),
         ("x", 2, "expected end:ID=WORD"),
     ):
         code, _, err = said("capture", "shrink", place, "--shows", shows, "--out", str(out))
