--- a/kestreltrack/cli/replay.py
+++ b/kestreltrack/cli/replay.py
@@ -143,17 +143,17 @@
 def _comparison_document(comparison: VersionComparison) -> object:
     return msgspec.to_builtins(
         {
-            "where": comparison.where,
+            "where": comparison.source,
             "comparable": comparison.comparable,
             "same": comparison.same,
             "incomparable": comparison.incomparable,
-            "stretches": comparison.stretches,
-            "kinds": comparison.kinds,
-            "after": comparison.after,
-            "base_parted": comparison.base_parted,
+            "stretches": comparison.segments,
+            "kinds": comparison.difference_kinds,
+            "after": comparison.incomparable_actions,
+            "base_parted": comparison.capture_divergence,
             "faults": comparison.faults,
             "alike": comparison.identical(),
-            "partings": [_difference_document(difference) for difference in comparison.partings],
+            "partings": [_difference_document(difference) for difference in comparison.differences],
         }
     )
 
@@ -171,20 +171,25 @@
 def _print_comparison(comparison: VersionComparison) -> None:
     share = f" ({comparison.same / comparison.comparable:.2%})" if comparison.comparable else ""
     rows = [
-        ["segments between checkpoints", str(comparison.stretches)],
+        ["segments between checkpoints", str(comparison.segments)],
         ["comparable answers", str(comparison.comparable)],
         ["the same", f"{comparison.same}{share}"],
         ["after a difference, not comparable", str(comparison.incomparable)],
     ]
-    rows += [[f"different: {kind}", str(count)] for kind, count in comparison.kinds.most_common()]
-    rows += [[f"not comparable, {kind}", str(count)] for kind, count in sorted(comparison.after.items())]
+    rows += [[f"different: {kind}", str(count)] for kind, count in comparison.difference_kinds.most_common()]
+    rows += [
+        [f"not comparable, {kind}", str(count)]
+        for kind, count in sorted(comparison.incomparable_actions.items())
+    ]
     rows += [["corrupt", fault] for fault in comparison.faults]
     verdict = "identical" if comparison.identical() else "different"
-    print_table(["name", "value"], rows, f"compared with {comparison.where}: {verdict}")
-    for difference in comparison.partings[:MAX_DIFFERENCES_SHOWN]:
+    print_table(["name", "value"], rows, f"compared with {comparison.source}: {verdict}")
+    for difference in comparison.differences[:MAX_DIFFERENCES_SHOWN]:
         _print_difference(difference)
-    if comparison.base_parted:
-        print(f"ended early: the present decision code diverges from the capture: {comparison.base_parted}")
+    if comparison.capture_divergence:
+        print(
+            f"ended early: the present decision code diverges from the capture: {comparison.capture_divergence}"
+        )
 
 
 def _print_difference(difference: DecisionDifference) -> None:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -10,7 +10,6 @@
 import pytest
 
 PROCESSES = {
-    "test_against::test_what_is_no_version_is_told": "git",
     "test_batch_delivery::test_batch_delivery_by_a_real_process": "a sender that calls for several messages at once",
     "test_capture_restart::test_a_killed_sender_leaves_a_capture_that_replays": "a sender that is killed",
     "test_capture::test_a_sender_is_captured_and_replayed_by_commands": "the demo and the replay as commands",
@@ -27,6 +26,7 @@
     "test_scenarios_discovery": "a sender and the source of its endpoint list",
     "test_sites": "the builder of sites",
     "test_soak::test_a_short_seed_keeps_all_rules": "senders among faults drawn from a seed",
+    "test_version_comparison::test_an_invalid_version_is_rejected": "git",
     "test_wire": "the simulator's wire",
 }
 EXCLUSIVE = {
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -9,8 +9,8 @@
 from captures.scripts import FOLDER
 from hypothesis import given
 from hypothesis import strategies as st
-from test_against import version
 from test_explain import capture, said
+from test_version_comparison import copy_version
 
 from kestreltrack.capture.cursor import CaptureFiles
 from kestreltrack.capture.reader import capture_files
@@ -110,7 +110,7 @@
 def test_a_difference_between_versions_shrinks_to_the_messages_that_show_it(
     captured_input: CapturedInput, tmp_path: Path
 ) -> None:
-    other = OtherVersion(version(tmp_path / "v", "FIRST_PAUSE_MS = 250.0", "FIRST_PAUSE_MS = 900.0"))
+    other = OtherVersion(copy_version(tmp_path / "v", "FIRST_PAUSE_MS = 250.0", "FIRST_PAUSE_MS = 900.0"))
     shows = differs_from_version(
         tmp_path / "tried.ktc", lambda file: not compare_capture(CaptureFiles([file]), other).identical()
     )
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -416,4 +416,4 @@
     assert "PAUSE_MS = 250.0" in text
     source.write_text(text.replace("PAUSE_MS = 250.0", "PAUSE_MS = 900.0"))
     found = compare_files(capture_files([STORED / "captures" / "learns"]), str(tmp_path))
-    assert not found.identical() and found.partings and not found.base_parted
+    assert not found.identical() and found.differences and not found.capture_divergence
