--- a/kestreltrack/invariants/__init__.py
+++ b/kestreltrack/invariants/__init__.py
@@ -1,5 +1,5 @@
-"""The safety rules of the specification, checked over recorded events and independent of the decision module.
+"""Checks of the invariants in the specification, over recorded events and independent of the decision module.
 
-`sender.py` checks one sender over what its decision module received and answered, `system.py` a whole run over the
-stream of events that `events.py` defines.
+`sender.py` checks one sender, by the events and the actions of its decision module; `system.py` checks a complete
+run, by the event stream that `events.py` defines.
 """
--- a/kestreltrack/invariants/events.py
+++ b/kestreltrack/invariants/events.py
@@ -1,8 +1,8 @@
-"""The events of a run, as one stream.
+"""The event stream of a run.
 
-The emulator and the runs with real processes emit these events; the invariants, the scoring and the reports take
-them from the stream and look at nothing else.  All times and durations are milliseconds; a destination is named by
-its number, a sender by its index.
+The emulator and the scenario runs with real processes emit these events; the invariants, the scoring and the reports
+have no other input.  All clock readings and durations are milliseconds; a destination is identified by its number, a
+sender by its index.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRequested:
-    """A client wants a message delivered and is about to hand it in for the first time."""
+    """A client is about to submit a new message."""
 
     id: str
     dest: int
     cls: str
     tenant: str
     within_quota: bool
-    """Whether the tenant was within its quota when it asked."""
+    """Whether the tenant was within its quota at that time."""
     deadline: float
     """The clock reading by which the message must have its final answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageSubmitted:
-    """A client hands a message to a sender, possibly again after a rejection."""
+    """A client submits a message to a sender, possibly again after a rejection."""
 
     id: str
     sender: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageAccepted:
-    """A sender accepted a message and owes it one final answer."""
+    """A sender accepted a message and must give exactly one final answer to it."""
 
     id: str
     sender: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageRejected:
-    """A sender did not accept a message."""
+    """A sender rejected a message that a client submitted."""
 
     id: str
     sender: int
@@ -60,16 +60,16 @@
     endpoint: str
     number: int
     in_flight: int
-    """Calls of this sender to this destination that are in flight, this one included."""
+    """The number of calls in flight from this sender to this destination, including this one."""
     unhealthy: bool
-    """Whether the decision module of the sender counts the destination as unhealthy."""
+    """Whether the decision module of the sender considers the destination unhealthy."""
     zone: str = ""
     """The zone of the endpoint."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptAnswered:
-    """An attempt has an outcome for its sender."""
+    """A sender received or determined the outcome of an attempt."""
 
     id: str
     sender: int
@@ -80,9 +80,9 @@
     new_connection: bool
     duration_ms: float
     first_of_call: bool = True
-    """Whether this is the first message of its call, where a call carries several."""
+    """Whether this is the first message of its call; a call can carry several."""
     zone_cost: float = 0.0
-    """The cost of the route, where the endpoint took the message on."""
+    """The cost of the route, if the endpoint accepted the message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswerGiven:
-    """A sender gives the final answer of a message: `delivered`, `refused` (handed back) or `failed`."""
+    """A sender gives the final answer to a message: `delivered`, `refused` (handed back) or `failed`."""
 
     id: str
     sender: int
@@ -116,17 +116,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationOverloaded:
-    """A recovering destination was overloaded; holds the work that each sender sent in the span before."""
+    """A recovering destination was overloaded; contains the work that each sender sent in the period before."""
 
     dest: int
     work_ms_by_sender: dict[int, float]
     endpoints: tuple[str, ...] = ()
-    """The endpoints that were overloaded, where it was not the whole destination."""
+    """The overloaded endpoints, or none if the complete destination was overloaded."""
 
 
 @dataclass(frozen=True, slots=True)
 class SenderCrashed:
-    """The process of a sender ended without a shutdown."""
+    """The process of a sender ended without an orderly shutdown."""
 
     sender: int
 
@@ -141,13 +141,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultChanged:
-    """A fault was injected or has ended."""
+    """A fault began or ended."""
 
     kind: str
     target: str
     active: bool
     endpoints: tuple[str, ...] = ()
-    """The endpoints that are affected, where the fault does not affect whole destinations."""
+    """The affected endpoints, or none if the fault affects complete destinations."""
 
 
 Event = (
@@ -166,4 +166,4 @@
     | FaultChanged
 )
 Listener = Callable[[float, Event], None]
-"""Receives each event with the clock reading at which it happened."""
+"""Receives the clock reading of each event, and the event."""
--- a/kestreltrack/invariants/sender.py
+++ b/kestreltrack/invariants/sender.py
@@ -1,11 +1,10 @@
-"""The obligations of one sender, checked over the events that it received and the actions that it answered with.
-
-The checker knows only these two streams and shares no code with the decision module.  The rules are those of the
-specification and of the protocol: one final answer, in time; at most one attempt in flight; repeats only within what
-the class allows; no request to a draining endpoint; no request before a retry-after has passed; order within a key;
-no more calls in flight than the concurrency limit.  The same checker runs over random event sequences
-(`tests/test_random.py`) and over captures (`kestreltrack capture shrink --shows rule:…`).  All clock readings and
-durations are milliseconds.
+"""The invariants of one sender, checked over the events and the actions of its decision module.
+
+The checker has no other input and shares no logic with the decision module.  The rules are those of the specification
+and of the protocol: one final answer, in time; at most one attempt in flight; repeats only as the class allows; no
+request to a draining endpoint; no request before a retry-after has passed; order within an ordering key; no more
+calls in flight than the concurrency limit.  The checker runs over random event sequences (`tests/test_random.py`) and
+over captures (`kestreltrack capture shrink --shows rule:…`).  All clock readings and durations are milliseconds.
 """
 
 from __future__ import annotations
@@ -35,16 +34,16 @@
 )
 from kestreltrack.snapshot.state import PolicyState
 
-# After these the endpoint has certainly not executed the message.
+# After these outcomes the endpoint has certainly not executed the message.
 NOT_EXECUTED_OUTCOMES = {Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_SENT}
-# After these the endpoint may still be executing the message, so that its key must settle first.
+# After these outcomes the endpoint may still be executing the message, so its ordering key has to settle.
 KEY_SETTLING_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CONNECTION_BROKEN, Outcome.CANCELLED)
-# A stored message has this clock reading where none of its attempts had an ambiguous outcome.
+# The value of `doubt` in a stored message without an ambiguous outcome.
 NEVER_AMBIGUOUS = float("inf")
 
 
 class InvariantViolationError(AssertionError):
-    """A rule was violated; the text says which."""
+    """A rule was violated; the message says which."""
 
 
 @dataclass(slots=True)
@@ -58,16 +57,16 @@
 
 @dataclass(slots=True)
 class MessageRecord:
-    """What the checker knows of one message."""
+    """The events and attempts of one message."""
 
     event: MessageArrived
     order: int
-    """The position of its arrival among all messages."""
+    """The position in the order of arrival of all messages."""
     final_answers: int = 0
     final: bool = False
     withdrawn_at: float | None = None
     uncounted_attempts: int = 0
-    """Attempts that were never sent; they do not count against the limit of attempts."""
+    """The number of attempts that were never sent, which do not count towards the limit of attempts."""
     attempts: list[Attempt] = field(default_factory=list)
 
     def has_attempt_in_flight(self) -> bool:
@@ -75,14 +74,14 @@
         return any(attempt.outcome is None for attempt in self.attempts)
 
     def possibly_executed(self) -> list[Attempt]:
-        """Return the attempts that were executed or may have been."""
+        """Return the attempts that were or may have been executed, including those in flight."""
         return [attempt for attempt in self.attempts if attempt.outcome not in NOT_EXECUTED_OUTCOMES]
 
 
 class SenderInvariants:
-    """Independent records of one sender's obligations.
+    """Checks the invariants of one sender.
 
-    Call `observe` for each event before the decision module handles it, and `check_actions` for each answer.
+    Call `observe` for each event before the decision module handles it, and `check_actions` for each decision.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -90,25 +89,25 @@
         self.settings = settings
         self.records: dict[str, MessageRecord] = {}
         self.open_records: dict[str, MessageRecord] = {}
-        """The records of messages without a final answer or with an attempt in flight."""
+        """The messages without a final answer or with an attempt in flight."""
         self.endpoints: dict[str, EndpointEntry] = {}
         self.draining_since: dict[str, float] = {}
         self.retry_after_until: dict[str, float] = {}
-        """The end of the latest retry-after of each scope, which is an endpoint or a destination."""
+        """The end of the latest retry-after, by scope: an endpoint or a destination."""
         self.keys_settling: dict[int, tuple[float, str]] = {}
-        """For each ordering key until when it settles, and the message whose attempt was ambiguous."""
+        """When each ordering key has settled, and the message whose attempt was ambiguous."""
         self.calls_in_flight: list[set[tuple[str, int]]] = []
-        """For each call the messages in it that have no outcome yet, each with the number of its attempt."""
+        """For each call in flight, the messages without an outcome and the numbers of their attempts."""
 
-    # Start from a checkpoint ------------------------------------------------------------------------
+    # Restoring from a checkpoint ---------------------------------------------------------------------
 
     def load_state(self, state: PolicyState) -> None:
-        """Start from the state of a decision module, as a checkpoint stores it."""
+        """Start from the state of a decision module in a checkpoint."""
         self._load_endpoints(state)
         self._load_messages(state)
         self._load_calls(state)
-        for line in state.keys:
-            self.keys_settling[line.key] = (line.rest, line.owner)
+        for key_queue in state.keys:
+            self.keys_settling[key_queue.key] = (key_queue.rest, key_queue.owner)
 
     def _load_endpoints(self, state: PolicyState) -> None:
         for dest in state.dests:
@@ -150,7 +149,7 @@
     # Events ------------------------------------------------------------------------------------------
 
     def observe(self, now: float, event: Event) -> None:
-        """Record an event, before the sender answers it."""
+        """Record an event, before the decision module handles it."""
         if isinstance(event, MessageArrived):
             self._record_arrival(event)
         elif isinstance(event, MessageWithdrawn):
@@ -168,7 +167,7 @@
         self.open_records[event.id] = record
         record.attempts = [Attempt(0.0, "", Outcome.NOT_SENT) for _ in range(event.attempts)]
         if event.ambiguous_since is not None and event.attempts:
-            # One of the attempts before a restart was ambiguous; it does not matter which.
+            # One of the attempts before the restart was ambiguous; any of them can represent it.
             record.attempts[0] = Attempt(
                 event.ambiguous_since, event.ambiguous_zone, Outcome.CONNECTION_BROKEN
             )
@@ -183,7 +182,7 @@
 
     def _record_endpoints(self, now: float, event: EndpointsUpdated) -> None:
         if event.complete:
-            # An endpoint that the complete list does not name was removed; the loop below clears the others.
+            # An endpoint that a complete list does not contain was removed; the loop below clears the others.
             for name in self.endpoints:
                 self.draining_since.setdefault(name, now)
         for entry in event.entries:
@@ -205,7 +204,7 @@
     def _record_outcome(self, now: float, event: AttemptEnded) -> None:
         record = self.records.get(event.id)
         if record is None or event.attempt >= len(record.attempts):
-            # The attempt started before this checker did.
+            # The attempt started before the checker.
             return
         record.attempts[event.attempt].outcome = event.outcome
         if not event.counted:
@@ -229,7 +228,7 @@
         return self.settings.kinds.get(self.endpoints[endpoint].kind, KindSettings())
 
     def _retry_after_scope(self, endpoint: str) -> str:
-        """Return the scope that a retry-after of this endpoint applies to."""
+        """Return the scope to which a retry-after of this endpoint applies."""
         if self._kind_settings(endpoint).independent_endpoints:
             return endpoint
         return f"dest {self.endpoints[endpoint].dest}"
@@ -298,7 +297,7 @@
     def _check_repeat(
         self, now: float, record: MessageRecord, class_settings: ClassSettings, zone: str
     ) -> None:
-        """Check that a message that may have been executed is repeated only where the class allows it."""
+        """Check that a message that may have been executed is repeated only if its class allows it."""
         possibly_executed = record.possibly_executed()
         if not possibly_executed:
             return
@@ -322,7 +321,7 @@
     def _record_attempt(
         self, now: float, action: StartAttempt, new_calls: dict[str, set[tuple[str, int]]]
     ) -> None:
-        """Record a new attempt as part of the endpoint's new call, or of a further one where that is full."""
+        """Add an attempt to the new call to its endpoint, or to a further call if that one is full."""
         record = self.records[action.id]
         record.attempts.append(Attempt(now, self.endpoints[action.endpoint].zone))
         call = new_calls.get(action.endpoint)
@@ -335,7 +334,7 @@
     def _check_final_answer(self, now: float, action: RejectMessage | FailMessage) -> None:
         record = self.records[action.id]
         if record.withdrawn_at == now and not record.final_answers:
-            # The decision module handled an outcome before the withdrawal of the same step; that is allowed.
+            # The decision module may handle an outcome before a withdrawal that comes at the same time.
             record.final_answers += 1
             return
         if record.final:
@@ -344,7 +343,7 @@
         if (
             isinstance(action, RejectMessage)
             and record.possibly_executed()
-            and not _harmless_everywhere(class_settings)
+            and not _repeatable_at_any_sender(class_settings)
         ):
             raise InvariantViolationError("rejected as harmless to repeat, though it may have been executed")
         record.final = True
@@ -352,8 +351,8 @@
         self._close_if_final(action.id)
 
 
-def _harmless_everywhere(class_settings: ClassSettings) -> bool:
-    """Return whether a client may hand a message in again at any sender after it may have been executed."""
+def _repeatable_at_any_sender(class_settings: ClassSettings) -> bool:
+    """Return whether a client may resubmit, at any sender, a message that may have been executed."""
     if class_settings.idempotency is Idempotency.KEYED:
         return class_settings.deduplication_scope is DeduplicationScope.ALL
     return class_settings.idempotency is not Idempotency.NOT_IDEMPOTENT
--- a/kestreltrack/invariants/system.py
+++ b/kestreltrack/invariants/system.py
@@ -1,8 +1,8 @@
-"""The rules over a whole run, checked by a listener of its event stream; each violation is recorded with its time.
+"""The invariants of a complete run, checked by a listener of its event stream, which records the violations.
 
-The wording of the rules is that of the specification and of the protocol; the figures come with the scenario.  A
-sender is not blamed for what it cannot know: a drain counts from when the sender learned of it, a retry-after from
-when the answer came.  All clock readings and durations are milliseconds.
+The rules are those of the specification and of the protocol; the scenario sets their parameters.  A sender is judged
+only by what it knew: a drain applies from the time at which the sender learned of it, a retry-after from the time at
+which the sender received it.  All clock readings and durations are milliseconds.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     SenderStarted,
 )
 
-# The names of the rules, as results and commands show them.
+# The names of the rules in results and in the output of commands.
 ONE_ATTEMPT = "one attempt at a time"
 ONE_FINAL_ANSWER = "one final answer"
 ANSWERS_IN_TIME = "answers in time"
@@ -39,19 +39,19 @@
 ISOLATION = "isolation"
 NO_OVERLOAD_ON_RECOVERY = "no returning partner pushed over"
 
-# Shares of a sender's slots that one destination may have, as the design page gives them.
+# The maximum share of a sender's slots for one destination, as in the design page.
 MAX_SLOT_SHARE = 0.75
 MAX_SLOT_SHARE_UNHEALTHY = 0.5
 OUTAGE_FAULTS = ("hangs", "shuts", "unreachable", "refuses", "vanishes", "fails")
 # After these outcomes the message may have been executed.
 AMBIGUOUS_OUTCOMES = ("error", "timed out", "broken", "cancelled")
-# These outcomes show nothing about the health of the destination.
+# These outcomes are no evidence of an outage.
 HEALTHY_OUTCOMES = ("ok", "not sent")
-# Calls that were decided before the destination became unhealthy have left the sender after this time.
+# After this time, the calls that were decided before the destination became unhealthy have left the sender.
 UNHEALTHY_GRACE_MS = 2000.0
-# More violations than these are not recorded, to bound the memory of a run that fails throughout.
+# Limits the memory for violations in a run that fails throughout; further ones are not recorded.
 MAX_VIOLATIONS = 1000
-# What fell due while a sender was away is not overdue until this time after its start (from the protocol).
+# Deadlines that passed while a sender was down are extended to this time after its start, as in the protocol.
 RESTART_GRACE_MS = 1500.0
 NO_SENDER = -1
 
@@ -61,16 +61,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InvariantParameters:
-    """The figures of the rules: times in ms, and the effect of each class (`safe`, `keyed`, `unsafe`)."""
+    """The parameters of the rules; `idempotency` is `safe`, `keyed` or `unsafe` for each class."""
 
     drain_grace_ms: float
     answer_slack_ms: float
     max_attempts: int
     idempotency: Mapping[str, str]
     deduplication_windows_ms: Mapping[str, float] = field(default_factory=dict)
-    """How long a keyed class is remembered after its first ambiguous attempt; without an entry, forever."""
+    """The deduplication window of keyed classes, from the first ambiguous attempt; unlimited without an entry."""
     zone_scoped: frozenset[str] = frozenset()
-    """Keyed classes that only the endpoints of one zone remember."""
+    """The keyed classes that are deduplicated only within a zone."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,30 +84,30 @@
 
 @dataclass(slots=True)
 class _AcceptedMessage:
-    """The state of one message that a sender has accepted or attempted."""
+    """The state of a message that a sender has accepted or attempted."""
 
     deadline: float
     cls: str
     final_answers: int = 0
     attempting_sender: int = NO_SENDER
-    """The sender that has an attempt in flight."""
+    """The sender with an attempt in flight, or `NO_SENDER`."""
     attempts: int = 0
     last_attempt_at: float = 0.0
     last_attempt_zone: str = ""
     first_ambiguous: tuple[float, str] | None = None
-    """The start and the zone of the first attempt that may have been executed."""
+    """The start and the zone of the first attempt with an ambiguous outcome."""
 
     def mark_ambiguous(self) -> None:
-        """Record that the last attempt is over and may have been executed."""
+        """Record that the last attempt ended with an ambiguous outcome."""
         self.attempting_sender = NO_SENDER
         if self.first_ambiguous is None:
             self.first_ambiguous = (self.last_attempt_at, self.last_attempt_zone)
 
 
 class SystemInvariants:
-    """The checker of all rules; a `Listener` of the event stream.
+    """Checks all rules; a `Listener` of the event stream.
 
-    `violations` holds what was found, `check_counts` how often each rule had something to check.
+    `violations` contains the violations, `check_counts` the number of checks made of each rule.
     """
 
     def __init__(self, parameters: InvariantParameters, concurrency_limit: int) -> None:
@@ -117,7 +117,7 @@
         self.violations = list[InvariantViolation]()
         self.check_counts = Counter[str]()
         self.independent_destinations = frozenset[int]()
-        """Destinations whose endpoints are independent: a retry-after applies to one, and each fails on its own."""
+        """Destinations with independent endpoints: a retry-after or a failure applies to one endpoint only."""
         self._idempotency_of = parameters.idempotency
         self._requested = dict[str, MessageRequested]()
         self._accepted = dict[str, _AcceptedMessage]()
@@ -126,11 +126,11 @@
         self._retry_after_until = dict[tuple[int, EndpointOrDestination], float]()
         self._unhealthy_since = dict[tuple[int, int], float]()
         self._started_at = dict[int, float]()
-        """When each sender started last."""
+        """The latest start of each sender."""
         self._in_outage = set[EndpointOrDestination]()
-        """What is or was in an outage."""
-        self._senders_that_saw = defaultdict[EndpointOrDestination, set[int]](set)
-        """For each outage the senders that saw a call fail since it began."""
+        """The destinations and endpoints that are or were in an outage."""
+        self._senders_aware_of_outage = defaultdict[EndpointOrDestination, set[int]](set)
+        """The senders that had a failed call since the outage began, by destination or endpoint."""
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             MessageRequested: self._on_requested,
             MessageAccepted: self._on_accepted,
@@ -195,7 +195,7 @@
             self._add_violation(now, ANSWERS_IN_TIME, text)
         if result == "refused":
             self._check_handed_back(now, message_id, message)
-            # Its client may hand it in again, which starts a new lifecycle.
+            # The client may submit it again, which starts a new lifecycle.
             del self._accepted[message_id]
 
     def _check_handed_back(self, now: float, message_id: str, message: _AcceptedMessage) -> None:
@@ -240,13 +240,13 @@
             self._add_violation(now, ONE_ATTEMPT, text)
 
     def _check_repeat(self, now: float, event: AttemptStarted, message: _AcceptedMessage) -> None:
-        """Check that a message that may have been executed is sent only where and while a repeat is harmless."""
-        effect = self._idempotency_of[message.cls]
-        if message.first_ambiguous is None or effect == "safe":
+        """Check that a message that may have been executed is repeated only if its class allows it."""
+        idempotency = self._idempotency_of[message.cls]
+        if message.first_ambiguous is None or idempotency == "safe":
             return
         ambiguous_at, zone = message.first_ambiguous
         window_ms = self.parameters.deduplication_windows_ms.get(message.cls, float("inf"))
-        if effect == "unsafe":
+        if idempotency == "unsafe":
             text = f"{event.id}: sent again though it may have been executed"
         elif now - ambiguous_at > window_ms:
             text = f"{event.id}: sent again {now - ambiguous_at:.0f} ms after the ambiguous attempt"
@@ -286,7 +286,7 @@
             self._add_violation(now, SLOT_CAP, text)
 
     def _check_isolation(self, now: float, event: AttemptStarted) -> None:
-        """Check the calls to an unhealthy destination, after those decided before have left the sender."""
+        """Check the number of calls to an unhealthy destination, after a grace period for calls decided before."""
         key = (event.sender, event.dest)
         if not event.unhealthy:
             self._unhealthy_since.pop(key, None)
@@ -308,17 +308,17 @@
             until = now + event.retry_after_ms
             self._retry_after_until[key] = max(self._retry_after_until.get(key, 0.0), until)
         if event.outcome not in HEALTHY_OUTCOMES:
-            self._record_outage_seen(event)
+            self._record_failed_call(event)
         if event.outcome == "ok":
             self._check_final_answer(now, event.id, event.sender, "delivered")
 
-    def _record_outage_seen(self, event: AttemptAnswered) -> None:
+    def _record_failed_call(self, event: AttemptAnswered) -> None:
         for affected in (event.dest, event.endpoint):
             if affected in self._in_outage:
-                self._senders_that_saw[affected].add(event.sender)
+                self._senders_aware_of_outage[affected].add(event.sender)
 
     def _retry_after_scope(self, event: AttemptStarted | AttemptAnswered) -> EndpointOrDestination:
-        """Return what a retry-after of this endpoint applies to."""
+        """Return the destination or the endpoint to which a retry-after of this endpoint applies."""
         return event.endpoint if event.dest in self.independent_destinations else event.dest
 
     # Endpoints, outages and senders ------------------------------------------------------------------
@@ -336,31 +336,31 @@
         affected: list[EndpointOrDestination] = [*event.endpoints]
         if not affected:
             affected = [int(number) for number in event.target.split(", ") if number]
-        for one in affected:
-            self._in_outage.add(one)
-            self._senders_that_saw[one].clear()
+        for item in affected:
+            self._in_outage.add(item)
+            self._senders_aware_of_outage[item].clear()
 
     def _on_overloaded(self, now: float, event: DestinationOverloaded) -> None:
-        """Check that less than two thirds of the work before came from senders that had seen it fail."""
+        """Check that less than two thirds of the work came from senders that had seen the destination fail."""
         self.check_counts[NO_OVERLOAD_ON_RECOVERY] += 1
         total_ms = sum(event.work_ms_by_sender.values())
-        saw = self._senders_that_saw[event.dest].union(
-            *(self._senders_that_saw[endpoint] for endpoint in event.endpoints)
+        aware_senders = self._senders_aware_of_outage[event.dest].union(
+            *(self._senders_aware_of_outage[endpoint] for endpoint in event.endpoints)
         )
-        knowing_ms = sum(work for sender, work in event.work_ms_by_sender.items() if sender in saw)
-        if total_ms > 0 and knowing_ms >= total_ms * 2.0 / 3.0:
-            share = knowing_ms / total_ms
+        aware_ms = sum(work for sender, work in event.work_ms_by_sender.items() if sender in aware_senders)
+        if total_ms > 0 and aware_ms >= total_ms * 2.0 / 3.0:
+            share = aware_ms / total_ms
             text = f"destination {event.dest}, {share:.0%} by senders that had seen it fail"
             self._add_violation(now, NO_OVERLOAD_ON_RECOVERY, text)
 
     def _on_sender_crashed(self, now: float, event: SenderCrashed) -> None:
         for message in self._accepted.values():
             if message.attempting_sender == event.sender:
-                # The next process of the sender takes it from the journal, with an ambiguous outcome.
+                # The next process of the sender recovers the message from the journal, with an ambiguous outcome.
                 message.mark_ambiguous()
-        # The next process knows its journal and its cached endpoint list; it has not received anything else.
-        for saw in self._senders_that_saw.values():
-            saw.discard(event.sender)
+        # The next process knows only its journal and its cached endpoint list.
+        for aware_senders in self._senders_aware_of_outage.values():
+            aware_senders.discard(event.sender)
         self._retry_after_until = {
             key: until for key, until in self._retry_after_until.items() if key[0] != event.sender
         }
