--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,21 +1,23 @@
-"""What earlier versions stored is read with the same content, and is written again with the same bytes.
-
-The files under `stored/` were made by the program of commit 2a7a22f, before its types, modules and fields were
-renamed.  Names that reach the disk are part of the formats: a change of names inside of the program must leave them.
-
-`state/`        a sender's folder that lasts: `write_state` below, run by that program.  Its journals hold messages in
-                every state and the list of endpoints; beside them are the waits told and the endpoints excluded
-`agreed/`       the folder of the agreed documents: one in force, and one prepared on it that is acknowledged
-`snapshots/`    states of the decision module in the midst of random days, each with other settings, so that every
-                value of every setting that is a choice occurs; an action of each type waits in each of them
-`captures/`     how those days went on from there, with a checkpoint inside of the first file and one that begins the
-                second; `every` holds each type of event and of action, and a step in which all fields of the events
-                differ from their defaults.  `every` and `learns` keep actions whole, `rough` keeps digests of them
-`module_before_renames/`   the decision module and its snapshot of that commit, for comparisons against it
-`expected.json` what is in these files, by position or by the names on disk, not by those inside of the program
-
-What was decided otherwise on purpose since then is set back while these days are replayed (`DECIDED_SINCE`), so that
-every answer and every state of them is still compared with what is stored.
+"""Data stored by an earlier version is read with the same content, and written again with the same bytes.
+
+The files under `stored/` were written by commit 2a7a22f, before types, modules and fields were renamed.  Names on
+disk are part of the formats, so renaming identifiers must not change them.
+
+`state/`        the state folder of a sender, written by `write_state` below, run with that commit.  Its journals
+                contain messages in every state and the endpoint list; next to them are the files of the shared
+                retry-afters and of the excluded endpoints
+`agreed/`       the folder of the replicated config: one document in force, and an acknowledged one based on it
+`snapshots/`    states of the decision module in the middle of random event sequences, each with different settings,
+                which together contain every value of every enumerated setting; each state has a pending action of
+                every type
+`captures/`     the continuations of those sequences, with a checkpoint inside the first file and one at the start of
+                the second; `every` contains each type of event and action, and a step in which all fields of the
+                events differ from their defaults.  `every` and `learns` store complete actions, `rough` their digests
+`module_before_renames/`   the decision module and the snapshot package of that commit, for comparisons
+`expected.json` the content of these files, by position or by the names on disk, not by the names of identifiers
+
+Decisions that were changed on purpose since then are reverted while the captures are replayed (`BEHAVIOUR_CHANGES`),
+so that every answer and every state is still compared with the stored one.
 """
 
 from __future__ import annotations
@@ -58,14 +60,21 @@
 ROOT = Path(__file__).parent.parent
 STORED = Path(__file__).parent / "stored"
 EXPECTED = json.loads((STORED / "expected.json").read_text())
-DAYS = ("every", "learns", "rough")
+CAPTURE_NAMES = ("every", "learns", "rough")
 BEFORE_RENAMES = "2a7a22f"
 FOLDER_BYTES = 1_000_000
-NOW = 1.7e12  # on the clock of a sender, which reads like Unix time in milliseconds
-BEGAN, CHECKPOINT, TOOK, DECIDED, PERMITTED, MARK = range(6)  # kinds of records, as they are on disk
-EVENT_TYPES, ACTION_TYPES = 11, 7
-# Module, name, and its value with which the module decides as it did when the days were stored.
-DECIDED_SINCE: list[tuple[ModuleType, str, object]] = [
+NOW = 1.7e12  # a clock reading of a sender, in milliseconds of Unix time
+# The kinds of records on disk.
+FILE_HEADER = 0
+CHECKPOINT = 1
+EVENT = 2
+DECISION = 3
+PERMISSION = 4
+MARK = 5
+EVENT_TYPE_COUNT = 11
+ACTION_TYPE_COUNT = 7
+# Module, name, and the value with which the decision module decides as it did when the captures were stored.
+BEHAVIOUR_CHANGES: list[tuple[ModuleType, str, object]] = [
     (rate_limit, "OPENING_GAP_SHARE", 0.0),
     (circuit_breaker, "warm_up_after_draining", lambda endpoint, now: None),
 ]
@@ -73,64 +82,66 @@
 
 @pytest.fixture(autouse=True)
 def decisions_as_stored(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Set back what is decided otherwise on purpose."""
-    for module, name, value in DECIDED_SINCE:
-        assert getattr(module, name) != value, f"{name} differs no more: take it out of the list"
+    """Revert the decisions that were changed on purpose since the data was stored."""
+    for module, name, value in BEHAVIOUR_CHANGES:
+        assert getattr(module, name) != value, f"{name} no longer differs: remove it from BEHAVIOUR_CHANGES"
         monkeypatch.setattr(module, name, value)
 
 
-def values(what: Any) -> Any:
-    """What an object holds, by position: without any name that the program gives its fields."""
-    if is_dataclass(what):
-        return [values(getattr(what, field.name)) for field in fields(what)]
-    if isinstance(what, msgspec.Struct):
-        return [values(getattr(what, name)) for name in what.__struct_fields__]
-    if isinstance(what, Enum):
-        return what.value
-    if isinstance(what, Mapping):
-        return {str(name): values(value) for name, value in what.items()}
-    if isinstance(what, set | frozenset):
-        return sorted(what)
-    if isinstance(what, list | tuple):
-        return [values(value) for value in what]
-    return what.hex() if isinstance(what, bytes) else what
-
-
-def copy_of(name: str, folder: Path) -> Path:
-    """A stored folder where it may be written to."""
+def field_values(content: Any) -> Any:
+    """Return the content of an object by position, without the names of its fields."""
+    if is_dataclass(content):
+        return [field_values(getattr(content, field.name)) for field in fields(content)]
+    if isinstance(content, msgspec.Struct):
+        return [field_values(getattr(content, name)) for name in content.__struct_fields__]
+    if isinstance(content, Enum):
+        return content.value
+    if isinstance(content, Mapping):
+        return {str(name): field_values(value) for name, value in content.items()}
+    if isinstance(content, set | frozenset):
+        return sorted(content)
+    if isinstance(content, list | tuple):
+        return [field_values(value) for value in content]
+    return content.hex() if isinstance(content, bytes) else content
+
+
+def copy_stored(name: str, folder: Path) -> Path:
+    """Return a writable copy of a stored folder."""
     return Path(shutil.copytree(STORED / name, folder / name))
 
 
-def contents(folder: Path) -> dict[str, bytes]:
-    """All files but the locks, which are empty."""
+def file_contents(folder: Path) -> dict[str, bytes]:
+    """Return the contents of all files except the locks, which are empty."""
     return {file.name: file.read_bytes() for file in folder.iterdir() if not file.name.endswith(".lock")}
 
 
-# The folder that lasts ---------------------------------------------------------------------------
+# The state folder --------------------------------------------------------------------------------
 
 
 def write_state(folder: Path) -> None:
-    """The steps that made `state/`: two processes of one sender, and an adoption that got no further than its start.
+    """Write `state/`: the journals of two processes of one sender, and a takeover that stops after its start.
 
-    Each message is named for the state in which it is left.
+    The id of each message names its final state.
     """
     journal = Journal(folder, FOLDER_BYTES, Telemetry())
-    beside = Journal(folder, FOLDER_BYTES, Telemetry())  # in the second slot, while the first is held
+    second_slot = Journal(folder, FOLDER_BYTES, Telemetry())  # the first slot is locked
     _write_journal(journal)
-    for number, id_ in enumerate(("left-later", "left-sooner")):
-        held = beside.record_accepted(Message(id_, "safe", 4, NOW + 9_000.0 - number * 1_000.0, b"left"))
-        beside.record_attempt(held, NOW + 5.0, "zone-b")
-    beside.close()
+    for number, message_id in enumerate(("left-later", "left-sooner")):
+        message = second_slot.record_accepted(
+            Message(message_id, "safe", 4, NOW + 9_000.0 - number * 1_000.0, b"left")
+        )
+        second_slot.record_attempt(message, NOW + 5.0, "zone-b")
+    second_slot.close()
     journal.close()
-    remains = AbandonedJournal.open(folder, "journal.1", Telemetry())
-    assert remains is not None
-    list(remains.read())
-    list(remains.compact(()))  # written anew, with nothing taken over
-    remains.close()
-    _write_waits(folder)
-    exclusion = EndpointExclusions(EndpointList())
-    exclusion.load(b'["node-up","node-gone"]')
-    (folder / "excluded").write_bytes(exclusion.dump())
+    abandoned = AbandonedJournal.open(folder, "journal.1", Telemetry())
+    assert abandoned is not None
+    list(abandoned.read())
+    list(abandoned.compact(()))  # rewritten, with no message taken over
+    abandoned.close()
+    _write_retry_afters(folder)
+    exclusions = EndpointExclusions(EndpointList())
+    exclusions.load(b'["node-up","node-gone"]')
+    (folder / "excluded").write_bytes(exclusions.dump())
 
 
 def _write_journal(journal: Journal) -> None:
@@ -144,42 +155,42 @@
     )
     journal.record_endpoints(EndpointListUpdate(8, False, (removed,)))
 
-    def taken(id_: str, cls: str = "keyed", *more: Any) -> Any:
+    def accept(message_id: str, cls: str = "keyed", *more: Any) -> Any:
         return journal.record_accepted(
-            Message(id_, cls, 3, NOW + 20_000.0, b"\x00\xff body of " + id_.encode(), *more)
+            Message(message_id, cls, 3, NOW + 20_000.0, b"\x00\xff body of " + message_id.encode(), *more)
         )
 
-    taken("untried", "safe")
-    journal.record_attempt(taken("out", "unsafe", "acme"), NOW + 10.0, "zone-a")
-    ambiguous = taken("ambiguous", "keyed", "acme", None, "key-1")
+    accept("untried", "safe")
+    journal.record_attempt(accept("out", "unsafe", "acme"), NOW + 10.0, "zone-a")
+    ambiguous = accept("ambiguous", "keyed", "acme", None, "key-1")
     journal.record_attempt(ambiguous, NOW + 20.0, "zone-a")
     journal.record_outcome(ambiguous, Outcome.TIMED_OUT)
-    again = taken("ambiguous-and-out", "keyed", None, None, "key-2")
+    all_outcomes = accept("ambiguous-and-out", "keyed", None, None, "key-2")
     for number, outcome in enumerate(Outcome):
-        journal.record_attempt(again, NOW + 30.0 + number, f"zone-{number}")
-        journal.record_outcome(again, outcome)
-    journal.record_attempt(again, NOW + 50.0, "zone-a")
-    refused = taken("refused")
+        journal.record_attempt(all_outcomes, NOW + 30.0 + number, f"zone-{number}")
+        journal.record_outcome(all_outcomes, outcome)
+    journal.record_attempt(all_outcomes, NOW + 50.0, "zone-a")
+    refused = accept("refused")
     journal.record_attempt(refused, NOW + 60.0, "zone-b")
     journal.record_outcome(refused, Outcome.REJECTED)
-    delivered = taken("delivered")
+    delivered = accept("delivered")
     journal.record_attempt(delivered, NOW + 70.0, "zone-b")
     journal.record_outcome(delivered, Outcome.OK)
     journal.record_completed(delivered)
-    told = taken("notice-told")
+    notified = accept("notice-told")
     journal.record_pending_notification(StatusNotification("notice-told", False))
-    journal.record_completed(told)
-    taken("notice-owed-requeue", "safe", "acme")
+    journal.record_completed(notified)
+    accept("notice-owed-requeue", "safe", "acme")
     journal.record_pending_notification(StatusNotification("notice-owed-requeue", True, 250.0))
-    given_up = taken("notice-owed-given-up", "unsafe")
+    given_up = accept("notice-owed-given-up", "unsafe")
     journal.record_attempt(given_up, NOW + 80.0, "zone-b")
     journal.record_outcome(given_up, Outcome.CONNECTION_BROKEN)
     journal.record_pending_notification(StatusNotification("notice-owed-given-up", False))
-    first, second = (taken(f"ordered-{number}", "ordered", "acme", 5) for number in (1, 2))
-    journal.record_attempt(first, NOW + 90.0, "zone-a", second)  # both in one call
+    first, second = (accept(f"ordered-{number}", "ordered", "acme", 5) for number in (1, 2))
+    journal.record_attempt(first, NOW + 90.0, "zone-a", second)  # one call carries both
 
 
-def _write_waits(folder: Path) -> None:
+def _write_retry_afters(folder: Path) -> None:
     first = SharedRetryAfter(folder, "journal")
     first.record(3, NOW + 60_000.0, NOW)
     first.record(4, NOW + 90_500.25, NOW)
@@ -190,95 +201,107 @@
 
 def test_the_same_steps_write_the_same_files(tmp_path: Path) -> None:
     write_state(tmp_path)
-    assert contents(tmp_path) == contents(STORED / "state")
-
-
-def test_a_journal_is_read_with_all_that_was_held_in_both_slots(tmp_path: Path) -> None:
-    journal = Journal(copy_of("state", tmp_path), FOLDER_BYTES, Telemetry())
-    troubles = {name: journal.telemetry.counters[name] for name in ("journal.corrupt", "journal.torn")}
-    assert not any(troubles.values())
-    assert {id_: values(held) for id_, held in journal.outstanding.items()} == EXPECTED["held"]
-    assert list(journal.outstanding) == list(EXPECTED["held"]), (
-        "in the order in which they are to be taken up"
-    )
-    assert values(journal.endpoints) == EXPECTED["list"]
+    assert file_contents(tmp_path) == file_contents(STORED / "state")
+
+
+def test_a_journal_recovers_the_messages_of_both_slots(tmp_path: Path) -> None:
+    journal = Journal(copy_stored("state", tmp_path), FOLDER_BYTES, Telemetry())
+    faults = {name: journal.telemetry.counters[name] for name in ("journal.corrupt", "journal.torn")}
+    assert not any(faults.values())
+    assert {
+        message_id: field_values(message) for message_id, message in journal.outstanding.items()
+    } == EXPECTED["held"]
+    assert list(journal.outstanding) == list(EXPECTED["held"]), "in the order in which they are recovered"
+    assert field_values(journal.endpoints) == EXPECTED["list"]
     journal.close()
 
 
-def test_a_journal_that_was_read_is_written_anew_with_the_names_on_disk(tmp_path: Path) -> None:
-    folder = copy_of("state", tmp_path)
+def test_compaction_of_a_recovered_journal_keeps_the_names_on_disk(tmp_path: Path) -> None:
+    folder = copy_stored("state", tmp_path)
     Journal(folder, FOLDER_BYTES, Telemetry()).close()
-    Journal(folder, FOLDER_BYTES, Telemetry()).close()  # from the file that the first wrote
-    texts = [json.dumps(row, separators=(",", ":")).encode() for row in EXPECTED["journal"]]
-    assert (folder / "journal").read_bytes() == b"".join(b"%08x %s\n" % (zlib.crc32(t), t) for t in texts)
-    assert not (folder / "journal.1").exists(), "what the second slot held was adopted"
+    Journal(folder, FOLDER_BYTES, Telemetry()).close()  # reads the file that the first one wrote
+    rows = [json.dumps(row, separators=(",", ":")).encode() for row in EXPECTED["journal"]]
+    assert (folder / "journal").read_bytes() == b"".join(
+        b"%08x %s\n" % (zlib.crc32(row), row) for row in rows
+    )
+    assert not (folder / "journal.1").exists(), "the messages of the second slot were taken over"
 
 
-def test_waits_that_were_told_still_bind(tmp_path: Path) -> None:
-    folder = copy_of("state", tmp_path)
-    waits = {3: NOW + 60_000.0, 4: NOW + 90_500.25, 9: NOW + 30_000.0}
+def test_stored_retry_afters_still_apply(tmp_path: Path) -> None:
+    folder = copy_stored("state", tmp_path)
+    retry_afters = {3: NOW + 60_000.0, 4: NOW + 90_500.25, 9: NOW + 30_000.0}
     for slot in ("journal", "journal.1"):
-        assert SharedRetryAfter(folder, slot).read_changes(NOW) == waits
-    assert SharedRetryAfter(folder, "journal").read_changes(NOW + 45_000.0) == {3: waits[3], 4: waits[4]}
-    assert json.loads((folder / "waits.journal").read_bytes()) == {str(d): waits[d] for d in (3, 4)}
-
-
-def test_endpoints_that_were_excluded_stay_out(tmp_path: Path) -> None:
-    folder = copy_of("state", tmp_path)
-    machines = EndpointList()
+        assert SharedRetryAfter(folder, slot).read_changes(NOW) == retry_afters
+    assert SharedRetryAfter(folder, "journal").read_changes(NOW + 45_000.0) == {
+        3: retry_afters[3],
+        4: retry_afters[4],
+    }
+    assert json.loads((folder / "waits.journal").read_bytes()) == {
+        str(dest): retry_afters[dest] for dest in (3, 4)
+    }
+
+
+def test_stored_exclusions_still_apply(tmp_path: Path) -> None:
+    folder = copy_stored("state", tmp_path)
+    endpoint_list = EndpointList()
     journal = Journal(folder, FOLDER_BYTES, Telemetry())
     assert journal.endpoints is not None
-    machines.apply(journal.endpoints)
+    endpoint_list.apply(journal.endpoints)
     journal.close()
-    exclusion, data = EndpointExclusions(machines), (folder / "excluded").read_bytes()
-    assert values(exclusion.load(data)) == [
+    exclusions = EndpointExclusions(endpoint_list)
+    data = (folder / "excluded").read_bytes()
+    assert field_values(exclusions.load(data)) == [
         [[["node-up", 3, "plain", "zone-a", "draining", 2.5]], False, False]
-    ]  # what the module hears: the entries, whether they are the whole list, whether they are remembered
-    assert exclusion.is_known("node-gone") and not exclusion.is_known("node-other")
-    assert exclusion.dump() == data == b'["node-gone","node-up"]'
-
-
-# The agreed documents ----------------------------------------------------------------------------
-
-
-def test_agreed_documents_are_read_and_kept_again_as_they_were(tmp_path: Path) -> None:
-    folder = StateFolder(copy_of("agreed", tmp_path))
-    found = folder.load()
-    assert found and folder.id == EXPECTED["agreed"]["id"]
-    kept, documents = found
-    assert values(kept) == [[1, 7], [1, 8]], "in force, acknowledged"
-    read = {"-".join(map(str, version)): values(document) for version, document in documents.items()}
-    assert read == EXPECTED["agreed"]["documents"]
+    ]  # the event for the decision module: the entries, `complete`, `cached`
+    assert exclusions.is_known("node-gone")
+    assert not exclusions.is_known("node-other")
+    assert exclusions.dump() == data == b'["node-gone","node-up"]'
+
+
+# The replicated config ---------------------------------------------------------------------------
+
+
+def test_replicated_config_is_read_and_saved_with_the_same_bytes(tmp_path: Path) -> None:
+    folder = StateFolder(copy_stored("agreed", tmp_path))
+    loaded = folder.load()
+    assert loaded
+    assert folder.id == EXPECTED["agreed"]["id"]
+    versions, documents = loaded
+    assert field_values(versions) == [[1, 7], [1, 8]], "in force, acknowledged"
+    by_version = {
+        "-".join(map(str, version)): field_values(document) for version, document in documents.items()
+    }
+    assert by_version == EXPECTED["agreed"]["documents"]
     texts = {canonical_document(document) for document in documents.values()}
     assert texts == {file.read_bytes() for file in (STORED / "agreed").glob("agreed-*.json")}
     (tmp_path / "again").mkdir()
-    again = StateFolder(tmp_path / "again")
-    again.load()
-    again.id = folder.id
-    again.save(kept, documents)
-    assert contents(tmp_path / "again") == contents(STORED / "agreed")
+    copy = StateFolder(tmp_path / "again")
+    copy.load()
+    copy.id = folder.id
+    copy.save(versions, documents)
+    assert file_contents(tmp_path / "again") == file_contents(STORED / "agreed")
 
 
 # Snapshots and captures --------------------------------------------------------------------------
 
 
-def raw_records(day: str) -> Iterator[bytes]:
-    """All records of a stored capture, as they are on disk."""
-    for file in capture_files([STORED / "captures" / day]):
+def raw_records(name: str) -> Iterator[bytes]:
+    """Yield the encoded records of a stored capture."""
+    for file in capture_files([STORED / "captures" / name]):
         for _, _, joined in Reader(file).raw_blocks():
             yield from records.split_records(joined)
 
 
-def written_again(data: bytes) -> bytes:
-    """A record that was read, as the present program writes it."""
+def reencode(data: bytes) -> bytes:
+    """Decode a record, and encode it as the current version does."""
     record = records.decode_record(data)
-    if record.kind == TOOK:
+    if record.kind == EVENT:
         return records.encode_event(record.clock, record.payload)
-    if record.kind == DECIDED and record.context[0]:
+    if record.kind == DECISION and record.context[0]:
         return records.encode_decision(
             record.clock, records.decode_actions(record.payload), full_actions=True
         )
-    if record.kind == PERMITTED:
+    if record.kind == PERMISSION:
         destination, endpoint = record.context
         return records.encode_permission(record.clock, destination, endpoint, record.payload)
     if record.kind == MARK:
@@ -288,18 +311,18 @@
     return msgspec.msgpack.encode([record.kind, record.clock, *record.context, record.payload])
 
 
-@pytest.mark.parametrize("day", DAYS)
-def test_a_snapshot_is_taken_up_and_taken_again_with_the_same_bytes(day: str) -> None:
-    data = (STORED / "snapshots" / f"{day}.bin").read_bytes()
+@pytest.mark.parametrize("name", CAPTURE_NAMES)
+def test_a_snapshot_is_restored_and_taken_again_with_the_same_bytes(name: str) -> None:
+    data = (STORED / "snapshots" / f"{name}.bin").read_bytes()
     assert canonical(data) == data
     policy = restore(decode(data))
     assert canonical(encode(take_snapshot(policy))) == data
-    assert values(policy.settings) == EXPECTED["settings"][day]
-    waiting = policy.decide(EXPECTED["pending"][day]["clock"])
-    assert msgspec.msgpack.decode(records.encode_actions(waiting)) == EXPECTED["pending"][day]["actions"]
+    assert field_values(policy.settings) == EXPECTED["settings"][name]
+    pending = policy.decide(EXPECTED["pending"][name]["clock"])
+    assert msgspec.msgpack.decode(records.encode_actions(pending)) == EXPECTED["pending"][name]["actions"]
 
 
-def test_snapshots_hold_every_value_of_every_choice() -> None:
+def test_snapshots_contain_every_value_of_every_enumerated_setting() -> None:
     text = json.dumps(EXPECTED["settings"])
     for choices in (
         ("safe", "keyed", "unsafe"), ("all", "zone"), ("line", "halves"), ("none", "exact", "rough"),
@@ -307,58 +330,67 @@
         assert all(f'"{choice}"' in text for choice in choices)
 
 
-@pytest.mark.parametrize("day", DAYS)
-def test_records_of_a_capture_are_written_again_with_the_same_bytes(day: str) -> None:
+@pytest.mark.parametrize("name", CAPTURE_NAMES)
+def test_records_of_a_capture_are_encoded_again_with_the_same_bytes(name: str) -> None:
     kinds = set[int]()
-    for data in raw_records(day):
+    for data in raw_records(name):
         kinds.add(msgspec.msgpack.decode(data)[0])
-        assert written_again(data) == data
-    assert kinds == {BEGAN, CHECKPOINT, TOOK, DECIDED, PERMITTED, MARK}
+        assert reencode(data) == data
+    assert kinds == {FILE_HEADER, CHECKPOINT, EVENT, DECISION, PERMISSION, MARK}
 
 
 def test_checkpoints_of_a_capture_are_canonical_states() -> None:
-    for day in DAYS:
+    for name in CAPTURE_NAMES:
         states = [
-            records.decode_record(data).payload for data in raw_records(day) if records.is_checkpoint(data)
+            records.decode_record(data).payload for data in raw_records(name) if records.is_checkpoint(data)
         ]
         assert len(states) == 3
-        assert canonical(states[0]) == (STORED / "snapshots" / f"{day}.bin").read_bytes()
+        assert canonical(states[0]) == (STORED / "snapshots" / f"{name}.bin").read_bytes()
         for state in states:
             assert encode(decode(canonical(state))) == canonical(state)
 
 
-def test_the_head_of_a_capture_is_read() -> None:
-    for day in DAYS:
-        head = values(records.decode_record(next(raw_records(day))).payload)
-        form, version, digest, sender, _, whole, number, hashed = head
-        assert (form, version, digest) == (1, "0.2.0", EXPECTED["digest"])
-        assert (sender, whole, number, hashed) == (f"sender-{day}", day != "rough", 0, False)
+def test_the_file_header_of_a_capture_is_read() -> None:
+    for name in CAPTURE_NAMES:
+        header = field_values(records.decode_record(next(raw_records(name))).payload)
+        format_version, version, digest, sender, _, full_actions, number, hashed = header
+        assert (format_version, version, digest) == (1, "0.2.0", EXPECTED["digest"])
+        assert (sender, full_actions, number, hashed) == (f"sender-{name}", name != "rough", 0, False)
 
 
-def test_a_capture_holds_every_event_and_every_action() -> None:
+def test_a_capture_contains_every_type_of_event_and_action() -> None:
     rows = [msgspec.msgpack.decode(data) for data in raw_records("every")]
-    assert {row[2] for row in rows if row[0] == TOOK} == set(range(EVENT_TYPES))
-    answers = [msgspec.msgpack.decode(row[3]) for row in rows if row[0] == DECIDED]
-    assert {action[0] for actions in answers for action in actions} == set(range(ACTION_TYPES))
+    assert {row[2] for row in rows if row[0] == EVENT} == set(range(EVENT_TYPE_COUNT))
+    answers = [msgspec.msgpack.decode(row[3]) for row in rows if row[0] == DECISION]
+    assert {action[0] for actions in answers for action in actions} == set(range(ACTION_TYPE_COUNT))
 
 
 def test_events_are_read_with_all_their_fields() -> None:
-    """The step in which every field differs from its default, `counted` and the like among them."""
-    heard = [records.decode_record(data) for data in raw_records("every")]
-    found = [values(r.payload) for r in heard if r.kind == TOOK and r.clock == EXPECTED["told"]["clock"]]
-    assert found == EXPECTED["told"]["events"]
-
-
-@pytest.mark.parametrize("day", DAYS)
-def test_a_capture_replays_identically_as_a_whole_and_from_its_second_file(day: str) -> None:
-    files = capture_files([STORED / "captures" / day])
-    for part, compared in ((files, EXPECTED["compared"][day][0]), (files[1:], EXPECTED["compared"][day][1])):
-        done = replay(part)
-        assert done.identical() and not done.faults and done.compared == compared
-
-
-def command(*words: str) -> Any:
-    """What a command prints as JSON; it must end with 0.  In this process, where the constants are set back."""
+    """Compare the events of the step in which every field differs from its default."""
+    clock = EXPECTED["told"]["clock"]
+    decoded = [records.decode_record(data) for data in raw_records("every")]
+    events = [
+        field_values(record.payload) for record in decoded if record.kind == EVENT and record.clock == clock
+    ]
+    assert events == EXPECTED["told"]["events"]
+
+
+@pytest.mark.parametrize("name", CAPTURE_NAMES)
+def test_a_capture_replays_identically_from_its_first_and_from_its_second_file(name: str) -> None:
+    files = capture_files([STORED / "captures" / name])
+    compared_from_first, compared_from_second = EXPECTED["compared"][name]
+    for part, compared in ((files, compared_from_first), (files[1:], compared_from_second)):
+        result = replay(part)
+        assert result.identical()
+        assert not result.faults
+        assert result.compared == compared
+
+
+def run_command(*words: str) -> Any:
+    """Return the JSON that a command prints; it must exit with 0.
+
+    The command runs in this process, in which the behaviour changes are reverted.
+    """
     printed = io.TextIOWrapper(io.BytesIO())
     with pytest.MonkeyPatch.context() as patch, contextlib.redirect_stdout(printed):
         patch.setattr(sys, "argv", ["kestreltrack", *words, "--json"])
@@ -369,18 +401,18 @@
     return json.loads(text)
 
 
-def test_the_commands_read_a_capture() -> None:
-    found = command("replay", str(STORED / "captures" / "every"))
-    assert (
-        found["identical"] and found["compared"] == EXPECTED["compared"]["every"][0] and not found["faults"]
-    )
+def test_the_replay_command_reads_a_capture() -> None:
+    document = run_command("replay", str(STORED / "captures" / "every"))
+    assert document["identical"]
+    assert document["compared"] == EXPECTED["compared"]["every"][0]
+    assert not document["faults"]
 
 
-# Against the module before the renames -----------------------------------------------------------
+# The decision module before the renames ----------------------------------------------------------
 
 
-def module_before_renames(folder: Path) -> Path:
-    """Its sources under their real names; they are stored under others so that no tool takes them for code."""
+def copy_module_before_renames(folder: Path) -> Path:
+    """Copy the sources under their real names; the stored names hide them from tools that look for Python files."""
     for file in (STORED / "module_before_renames").rglob("*.py.txt"):
         target = folder / file.relative_to(STORED / "module_before_renames").with_suffix("")
         target.parent.mkdir(parents=True, exist_ok=True)
@@ -388,32 +420,36 @@
     return folder
 
 
-def is_known(commit: str) -> bool:
-    """Whether this is a checkout whose history goes back so far."""
-    line = ["git", "-C", str(ROOT), "rev-parse", "--quiet", "--verify", f"{commit}^{{commit}}"]
-    return subprocess.run(line, capture_output=True, timeout=60).returncode == 0
+def is_in_history(commit: str) -> bool:
+    """Return whether this checkout has the commit in its history."""
+    command = ["git", "-C", str(ROOT), "rev-parse", "--quiet", "--verify", f"{commit}^{{commit}}"]
+    return subprocess.run(command, capture_output=True, timeout=60).returncode == 0
 
 
-@pytest.mark.parametrize("day", DAYS)
-def test_the_module_before_the_renames_decides_alike(day: str, tmp_path: Path) -> None:
-    """From the stored sources, and from the commit too where the history has it."""
-    files = capture_files([STORED / "captures" / day])
-    commits = [BEFORE_RENAMES] if is_known(BEFORE_RENAMES) else []
-    for where in (str(module_before_renames(tmp_path)), *commits):
-        found = compare_files(files, where)
-        assert found.identical() and not found.faults
-        assert found.comparable == found.same == EXPECTED["compared"][day][0] and not found.incomparable
+@pytest.mark.parametrize("name", CAPTURE_NAMES)
+def test_the_module_before_the_renames_decides_identically(name: str, tmp_path: Path) -> None:
+    """Compare with the stored sources, and with the commit if the history contains it."""
+    files = capture_files([STORED / "captures" / name])
+    commits = [BEFORE_RENAMES] if is_in_history(BEFORE_RENAMES) else []
+    for source in (str(copy_module_before_renames(tmp_path)), *commits):
+        comparison = compare_files(files, source)
+        assert comparison.identical()
+        assert not comparison.faults
+        assert comparison.comparable == comparison.same == EXPECTED["compared"][name][0]
+        assert not comparison.incomparable
 
 
-def test_the_command_compares_with_the_module_before_the_renames(tmp_path: Path) -> None:
-    place = str(STORED / "captures" / "learns")
-    assert command("replay", place, "--against", str(module_before_renames(tmp_path)))["alike"]
+def test_the_replay_command_compares_with_the_module_before_the_renames(tmp_path: Path) -> None:
+    folder = str(STORED / "captures" / "learns")
+    assert run_command("replay", folder, "--against", str(copy_module_before_renames(tmp_path)))["alike"]
 
 
 def test_a_difference_from_the_module_before_the_renames_is_found(tmp_path: Path) -> None:
-    source = module_before_renames(tmp_path) / "decision" / "policy.py"
+    source = copy_module_before_renames(tmp_path) / "decision" / "policy.py"
     text = source.read_text()
     assert "PAUSE_MS = 250.0" in text
     source.write_text(text.replace("PAUSE_MS = 250.0", "PAUSE_MS = 900.0"))
-    found = compare_files(capture_files([STORED / "captures" / "learns"]), str(tmp_path))
-    assert not found.identical() and found.differences and not found.capture_divergence
+    comparison = compare_files(capture_files([STORED / "captures" / "learns"]), str(tmp_path))
+    assert not comparison.identical()
+    assert comparison.differences
+    assert not comparison.capture_divergence
