--- a/kestreltrack/testing/model_checking/__init__.py
+++ b/kestreltrack/testing/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Explicit-state search over the fleet's own protocols: the transitions are the code that senders run."""
+"""Explicit-state model checking of the fleet protocols; the transitions are the production code of the senders."""
