--- a/kestreltrack/fleet/outage_probing/__init__.py
+++ b/kestreltrack/fleet/outage_probing/__init__.py
@@ -1,6 +1,7 @@
-"""Coordinated probing of destinations that are down or recovering, by all senders of the fleet together.
+"""Coordinated probing of destinations that are down or recovering, across all senders of the fleet.
 
-While a destination is down, the senders take turns to probe it; after its return they share its slow-start budget by
-quota leases.  One member, the coordinator, decides for each destination: `coordinator_of` selects it by rendezvous
-hashing.  `participant.py` is a sender's side, `coordinator.py` the coordinator's; neither performs I/O.
+While a destination is down, the senders take turns probing it.  Once it is up again, they share its slow-start
+budget through quota leases.  For each destination one member is the coordinator; `coordinator_of` selects it by
+rendezvous hashing.  `participant.py` implements the sender's role and `coordinator.py` the coordinator's; neither
+performs I/O.
 """
--- a/kestreltrack/fleet/outage_probing/coordinator.py
+++ b/kestreltrack/fleet/outage_probing/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator's side: whether a destination is down, whose turn it is to probe it, who may use how much after.
+"""The coordinator's role: decides whether a destination is down, who probes it next, and how its quota is shared.
 
-While a destination is down, all of the deposits here are granted to one sender at a time.  It gives the grant back
-after one probe, and the next turn comes after `PROBE_TURN_MS`, or later where the pool allows fewer calls.
+While a destination is down, the coordinator grants all deposits to one sender at a time.  That sender returns the
+grant after one probe.  The next turn starts after `PROBE_TURN_MS`, or later if the pool allows fewer calls.
 """
 
 from __future__ import annotations
@@ -23,64 +23,64 @@
 from kestreltrack.fleet.outage_probing.wire import AnnouncementRow, RequestRow, ResponseRow, age_ms
 from kestreltrack.fleet.quota_leases import GrantMode, LeaseGrantor, QuotaLeaseParameters
 
-# A verdict is sent to all so many times: at a loss of 10% one member in a thousand misses it.
+# How often a verdict is sent to all members: at 10% packet loss, one member in a thousand misses all copies.
 ANNOUNCEMENT_REPEATS = 3
 ANNOUNCEMENT_REPEAT_MS = 200.0
-# A retry-after is sent once: a member that misses it finds out by its own call.
+# A retry-after is sent once: a member that misses it receives it in response to its own call.
 RETRY_AFTER_REPEATS = 1
-# Destinations that one coordinator has state of: memory is bounded, whatever is requested.
+# Limit on the destinations that one coordinator tracks, so that requests cannot exhaust its memory.
 MAX_DESTINATIONS = 10_000
-# A destination that nobody has sent a request about for so long is forgotten.
+# State of a destination is dropped after this time without a request.
 DESTINATION_RETENTION_MS = 2.0 * DOWN_REPORT_TTL_MS
-# The sender that had the last turn lets the others go first for so long.
+# Extra delay before the sender that had the last turn may have the next one, so that others go first.
 REPEATED_TURN_DELAY_MS = 2.0 * REQUEST_INTERVAL_MS
-# Stands for a pool of no calls, so that the time between turns stays finite.
+# Lower bound on the pool's call rate: keeps the time between turns finite when the pool is empty.
 MIN_POOL_RATE_PER_S = 1e-3
 
 
 @dataclass(slots=True)
 class CoordinatedDestination:
-    """One destination."""
+    """The coordinator's state of one destination."""
 
     grantor: LeaseGrantor
     reports: OutageReports = field(default_factory=OutageReports)
     verdict: Verdict = Verdict.UNKNOWN
-    # When it was up again after an outage.
+    # When the last outage ended.
     recovered_at: float = -math.inf
-    # The sender whose turn it is, and the one that had the last turn; empty for none.
+    # The sender whose turn it is, and the sender that had the previous turn; empty if there is none.
     turn_holder: str = ""
     last_turn_holder: str = ""
     next_turn_at: float = -math.inf
     last_request_at: float = 0.0
-    # The newest announcement, and how often and when it is still to be sent.
+    # Number of the newest announcement, how many more times it is sent, and when next.
     announcement_number: int = 0
     repeats_left: int = 0
     next_repeat_at: float = 0.0
-    # The latest retry-after that a sender has reported.
+    # The latest end of a retry-after that any sender has reported.
     retry_after_until: float = -math.inf
 
     @property
     def down(self) -> bool:
-        """Whether the verdict is that it is down."""
+        """Whether the current verdict is `DOWN`."""
         return self.verdict is Verdict.DOWN
 
     def turn_holder_has_grant(self, now: float) -> bool:
-        """Return whether the sender whose turn it is still has a grant."""
+        """Return whether the sender whose turn it is holds an unexpired grant."""
         return any(until > now for _, until in self.grantor.grants.get(self.turn_holder, ()))
 
     def grant_mode(self, now: float, sender: str) -> GrantMode:
-        """Return how much a sender may be granted: a fair share, or during an outage everything in its turn."""
+        """Return the grant mode for a sender: a fair share, or in an outage all or nothing, depending on turns."""
         if not self.down:
             return GrantMode.FAIR_SHARE
         if self.turn_holder not in ("", sender) and self.turn_holder_has_grant(now):
             return GrantMode.NOTHING
-        # Else a sender that alone cannot reach the destination might have all the turns.
+        # Otherwise a sender whose own network is broken could take every turn.
         repeated = self.last_turn_holder == sender and len(self.reports.down_reports) > 1
         delay_ms = REPEATED_TURN_DELAY_MS if repeated else 0.0
         return GrantMode.EXCLUSIVE if now >= self.next_turn_at + delay_ms else GrantMode.NOTHING
 
     def end_turn(self, now: float, slow_start_rate: float) -> None:
-        """End the present turn; the next comes as the pool allows."""
+        """End the current turn and schedule the next one at the rate that the pool allows."""
         pool_rate = slow_start_rate * self.grantor.available_pool(now)
         self.last_turn_holder = self.turn_holder
         self.turn_holder = ""
@@ -88,28 +88,28 @@
 
 
 class ProbingCoordinator:
-    """All destinations that this member coordinates."""
+    """Handles requests and sends announcements for all destinations that this member coordinates."""
 
     def __init__(self, epoch: int, parameters: QuotaLeaseParameters | None = None) -> None:
-        """Begin without a destination.
+        """Start without destinations.
 
         Args:
-            epoch: The start of this process; a later process of the same name has a larger one.
-            parameters: Lease parameters, which all senders must have alike.
+            epoch: Start time of this process; a later process of the same name has a larger epoch.
+            parameters: Lease parameters, which must be the same for all senders.
         """
         self.epoch = epoch
         self.parameters = parameters or QuotaLeaseParameters()
         self.destinations: dict[int, CoordinatedDestination] = {}
-        # The numbers are the process's, not the destination's: after it was forgotten they go on.
+        # Counted for the whole process: the numbers keep increasing after a destination is dropped and added again.
         self._announcement_number = 0
         self._response_number = 0
 
     # Requests ------------------------------------------------------------------------------------
 
     def handle_request(self, now: float, sender: str, row: RequestRow) -> ResponseRow | None:
-        """Take a sender's report and request, and return the response.
+        """Record a sender's report and return the response to its request.
 
-        Returns none for a request that is older than another of that sender, or beyond `MAX_DESTINATIONS`.
+        Returns `None` if a newer request of that sender was handled before, or above `MAX_DESTINATIONS`.
         """
         destination = self._destination(row.dest)
         if destination is None or row.seq <= destination.grantor.latest_request.get(sender, 0):
@@ -123,7 +123,7 @@
         return self._respond(now, sender, destination, row)
 
     def _destination(self, dest: int) -> CoordinatedDestination | None:
-        """Return the state of a destination, new where there was none; none beyond the limit."""
+        """Return the state of a destination, created if missing; `None` above `MAX_DESTINATIONS`."""
         destination = self.destinations.get(dest)
         if destination is None:
             if len(self.destinations) >= MAX_DESTINATIONS:
@@ -164,8 +164,8 @@
         self._response_number = max(self._response_number, response.response_number)
         if destination.down and response.grant > 0.0:
             destination.turn_holder = sender
-        # While there are no deposits yet (this process is new) all use their own reserve: else nobody would probe.
-        takes_turns = destination.down and grantor.available_pool(now) > 0.0
+        # A new coordinator has no deposits yet.  Until it has, senders probe on their reserves: otherwise none would.
+        turns_in_effect = destination.down and grantor.available_pool(now) > 0.0
         sharing_over = now - destination.recovered_at > RECOVERY_SHARING_MS
         return ResponseRow(
             row.dest,
@@ -173,7 +173,7 @@
             response.epoch,
             response.response_number,
             min(1.0, response.grant),
-            down=takes_turns,
+            down=turns_in_effect,
             uncoordinated=not destination.down and sharing_over,
         )
 
@@ -186,7 +186,7 @@
         destination.next_repeat_at = now
 
     def due_announcements(self, now: float) -> list[AnnouncementRow]:
-        """Return what all members have to be sent now; to be called ten times a second."""
+        """Return the announcements that are due to all members; the caller polls ten times a second."""
         rows = list[AnnouncementRow]()
         for dest, destination in list(self.destinations.items()):
             self._update_verdict(now, destination)
@@ -194,13 +194,13 @@
                 destination.repeats_left -= 1
                 destination.next_repeat_at = now + ANNOUNCEMENT_REPEAT_MS
                 rows.append(self._announcement(now, dest, destination))
-            unused = now - destination.last_request_at > DESTINATION_RETENTION_MS
-            if unused and not destination.repeats_left:
+            is_idle = now - destination.last_request_at > DESTINATION_RETENTION_MS
+            if is_idle and not destination.repeats_left:
                 del self.destinations[dest]
         return rows
 
     def outage_announcements(self, now: float) -> list[AnnouncementRow]:
-        """Return what a new member has to be sent: the newest announcement about each destination that is down."""
+        """Return the newest announcement of each destination that is down, for a member that has joined."""
         return [
             self._announcement(now, dest, destination)
             for dest, destination in self.destinations.items()
--- a/kestreltrack/fleet/outage_probing/outage_verdict.py
+++ b/kestreltrack/fleet/outage_probing/outage_verdict.py
@@ -1,7 +1,8 @@
-"""Whether a destination is down, from the reports of all senders.
+"""Verdict on whether a destination is down, from the reports of all senders.
 
-A destination is down while a sender reports that and none has had a recent success: a sender whose own network is
-broken stops nobody else, and a destination that answers some calls is no concern of the fleet's.
+A destination is down while at least one sender reports it down and no sender has had a recent success.  So a sender
+whose own network is broken does not stop the others, and a destination that answers some calls does not count as
+down.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 
 from kestreltrack.fleet.outage_probing.wire import MAX_AGE_MS, ReportedState, RequestRow
 
-# How long a report that it is down counts: ten intervals of requests.
+# A report of an outage is valid for ten request intervals.
 DOWN_REPORT_TTL_MS = 5000.0
-# How long a success counts: 0.5 s longer than senders report it, for the time on its way.
+# A reported success is valid for 0.5 s longer than senders report it, to allow for network delay.
 UP_REPORT_TTL_MS = 2500.0
 
 
 class Verdict(Enum):
-    """What the coordinator holds a destination to be."""
+    """The coordinator's conclusion about a destination."""
 
-    # Before the first report that it is up or down.
+    # No sender has reported it up or down yet.
     UNKNOWN = "unknown"
     DOWN = "down"
     UP = "up"
@@ -36,7 +37,7 @@
 
 
 class UpReport(NamedTuple):
-    """A sender's report of a success."""
+    """A sender's report that a call to a destination succeeded."""
 
     until: float
     last_success_at: float
@@ -45,13 +46,13 @@
 
 @dataclass(slots=True)
 class OutageReports:
-    """The newest report of each sender about one destination."""
+    """The latest report of each sender about one destination."""
 
     down_reports: dict[str, DownReport] = field(default_factory=dict)
     up_reports: dict[str, UpReport] = field(default_factory=dict)
 
     def record(self, now: float, sender: str, row: RequestRow) -> None:
-        """Take the report of a sender in place of its last one; a success before it still counts for its time."""
+        """Replace a sender's last report; an earlier success stays valid unless the sender reports `DOWN`."""
         self.down_reports.pop(sender, None)
         observed_at = now - row.observation_age_ms
         if row.state is ReportedState.DOWN:
@@ -62,14 +63,14 @@
             self.up_reports[sender] = UpReport(until, observed_at, now - row.up_age_ms)
 
     def discard_expired(self, now: float) -> None:
-        """Forget the reports that no longer count."""
+        """Remove expired reports."""
         self.down_reports = {
             sender: report for sender, report in self.down_reports.items() if report[0] > now
         }
         self.up_reports = {sender: report for sender, report in self.up_reports.items() if report[0] > now}
 
     def verdict(self, previous: Verdict) -> Verdict:
-        """Return the verdict of the reports; without any the previous one stands."""
+        """Return the verdict that follows from the reports, or the previous one if there are none."""
         if self.up_reports:
             return Verdict.UP
         if self.down_reports:
@@ -77,16 +78,16 @@
         return previous
 
     def last_failure_at(self, default: float) -> float:
-        """Return the latest failure that was reported."""
+        """Return the time of the latest reported failure, or `default` if there is none."""
         return max((report.last_failure_at for report in self.down_reports.values()), default=default)
 
     def last_success_at(self) -> float:
-        """Return the latest success that was reported, minus infinity where there is none."""
+        """Return the time of the latest reported success, or minus infinity if there is none."""
         return max((report.last_success_at for report in self.up_reports.values()), default=-math.inf)
 
     def up_since(self) -> float:
-        """Return since when it is up.
+        """Return since when the destination has been up.
 
-        Of two senders the one that says longer has seen it up while the other had not.
+        The earliest reported time counts: that sender saw the destination up before the others did.
         """
         return min((report.up_since for report in self.up_reports.values()), default=-MAX_AGE_MS)
--- a/kestreltrack/fleet/outage_probing/participant.py
+++ b/kestreltrack/fleet/outage_probing/participant.py
@@ -1,9 +1,9 @@
-"""A sender's side of coordinated probing: turns to probe a destination that is down, quotas after its return.
+"""The sender's role in coordinated probing: turns to probe a destination that is down, and quotas while it recovers.
 
-`ProbingParticipant.tick` takes the health of the destinations as the policy sees it, and returns requests for
-coordinators and events for the policy.  A sender without a fresh response acts on its own, within its own quota of
-the slow-start budget: as one of N that do not communicate, and from a random moment on, since all that lose their
-coordinator lose it at the same time.
+`ProbingParticipant.tick` takes the health of the destinations as seen by the policy, and returns requests for
+coordinators and events for the policy.  Without a recent response a sender acts on its own, as one of N senders that
+do not communicate, within its own quota of the slow-start budget.  It starts at a random time, because all senders
+that lose a coordinator lose it at the same time.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     ProbedDestination,
     ProbingActions,
     ReceivedAnnouncement,
-    unused_health,
+    idle_destination_health,
 )
 from kestreltrack.fleet.outage_probing.timing import (
     ANNOUNCEMENT_RETENTION_MS,
@@ -50,25 +50,25 @@
 
 
 class ProbingParticipant:
-    """One sender's side for all destinations."""
+    """The participant role of one sender, for all destinations."""
 
     def __init__(
         self, started_at: float, seq: int, seed: int, parameters: QuotaLeaseParameters | None = None
     ) -> None:
-        """Begin without a destination.
+        """Start without destinations.
 
         Args:
-            started_at: The start of this process on its clock, in milliseconds.
-            seq: Above all requests of the processes before this one: should be the time of its start.
-            seed: The seed of all random choices.
-            parameters: The same for all senders.
+            started_at: Start time of this process on its own clock, in milliseconds.
+            seq: Must be larger than the sequence numbers of all earlier processes: use the process start time.
+            seed: Seed of all random choices.
+            parameters: Lease parameters, which must be the same for all senders.
         """
         self.parameters = parameters or QuotaLeaseParameters()
         self.started_at = started_at
         self.seq = seq
         self.random = random.Random(seed)
         self.destinations: dict[int, ProbedDestination] = {}
-        # The names are those of the gauges.
+        # The keys are the names of the exported gauges.
         self.counts = {
             "turns": 0,
             "asks": 0,
@@ -78,7 +78,7 @@
             "refuted": 0,
             "waits": 0,
         }
-        # The newest about each destination.
+        # The newest announcement about each destination.
         self._announcements: dict[int, ReceivedAnnouncement] = {}
         self._member_names: list[str] = []
         self._own_quota = 1.0
@@ -92,14 +92,14 @@
         member_names: Sequence[str] | None,
         own_quota: float,
     ) -> ProbingActions:
-        """Do what is due; to be called ten times a second.
+        """Return the requests and events that are due; the caller ticks ten times a second.
 
         Args:
-            now: Milliseconds of this sender's clock.
-            health_reports: The destinations that have messages here and are down, in slow start, or in
+            now: Current time of this sender's clock in milliseconds.
+            health_reports: Health of the destinations that have messages here and are down, in slow start, or in
                 `destinations`.
-            member_names: The members of the fleet; none while they are not known.
-            own_quota: Fraction of each slow-start budget: one over the number of senders.
+            member_names: The members of the fleet, or `None` while they are unknown.
+            own_quota: This sender's fraction of each slow-start budget: one divided by the number of senders.
         """
         actions = ProbingActions()
         self._own_quota = own_quota
@@ -117,7 +117,7 @@
         return actions
 
     def stop(self, now: float) -> ProbingActions:
-        """Give up all quotas when this process stops: the next one of its name may use them from now on."""
+        """Revoke all quotas when this process stops: the next process of the same name may use them from now on."""
         until = now + self.parameters.deposit_ms
         return ProbingActions(events=[QuotaLeased(dest, 0.0, until) for dest in self.destinations])
 
@@ -130,7 +130,7 @@
         )
 
     def _coordinate(self, now: float, health: DestinationHealth, actions: ProbingActions) -> None:
-        """Give the policy its quota for a destination, and send a request where one is due."""
+        """Issue the quota for a destination to the policy, and send a request if one is due."""
         destination = self._destination(now, health.dest, health.slow_start_rate)
         if health.down or health.in_slow_start:
             destination.last_unhealthy_at = now
@@ -139,7 +139,7 @@
             quota = self._advance_turn(now, destination, health, actions)
             actions.issue_quota(now, health.dest, destination, quota, QUOTA_VALID_MS)
         else:
-            # Until the coordinator has answered, and where it sees no outage, the policy acts on its own.
+            # The policy acts on its own until the coordinator has answered, and while it knows of no outage.
             destination.turn_started_at = None
             actions.revoke_quota(now, health.dest, destination)
         state_changed = health.reported_state(now) is not destination.reported_state
@@ -149,7 +149,7 @@
     def _advance_turn(
         self, now: float, destination: ProbedDestination, health: DestinationHealth, actions: ProbingActions
     ) -> float:
-        """Return the quota that the policy may use, and announce a turn that started or ended."""
+        """Return the quota that the policy may use; record a started turn, and return the grant of an ended one."""
         result = advance_turn(now, destination, health)
         if result.change is TurnChange.STARTED:
             self.counts["turns"] += 1
@@ -162,7 +162,7 @@
         destination = self.destinations.get(dest)
         if destination is None:
             holder = LeaseHolder(self.parameters, self._own_quota, self.started_at, seq=self.seq)
-            # The coordinator is given time to answer, as if it had answered now.
+            # Counts as a response, so that the coordinator has time to answer before this sender acts on its own.
             destination = ProbedDestination(holder, last_response_at=now)
             destination.next_turn_at = self._random_turn_at(now, slow_start_rate)
             self.destinations[dest] = destination
@@ -170,13 +170,13 @@
         return destination
 
     def _random_turn_at(self, now: float, slow_start_rate: float) -> float:
-        """Return a random moment within one interval of turns that all senders make on their own."""
+        """Return a random time within one turn interval of a sender that acts on its own."""
         return now + self.random.random() * turn_interval_ms(slow_start_rate * self._own_quota)
 
     def _update_standalone(
         self, now: float, destination: ProbedDestination, health: DestinationHealth
     ) -> None:
-        """Act on its own once no coordinator answers, from a random moment on."""
+        """Let this sender act on its own, from a random time on, once no coordinator answers."""
         standalone = now - destination.last_response_at > self.parameters.grant_ms
         if standalone and not destination.standalone:
             self.counts["alone"] += 1
@@ -184,49 +184,51 @@
         destination.standalone = standalone
 
     def _forward_retry_after(self, now: float, health: DestinationHealth, actions: ProbingActions) -> None:
-        """Send a retry-after that this sender has received to the coordinator, which announces it to all."""
+        """Forward a retry-after that this sender has received to the coordinator, which announces it to all."""
         if health.retry_after_until - now < MIN_RETRY_AFTER_MS:
             return
         destination = self._destination(now, health.dest, health.slow_start_rate)
         if health.retry_after_until < destination.reported_retry_after_until + MIN_RETRY_AFTER_MS:
             return
         destination.reported_retry_after_until = health.retry_after_until
-        # A request of this tick has it already.
+        # A request sent in this tick already contains it.
         if destination.last_request_at < now:
             content = retry_after_content(health)
             self._add_request_with_state(now, destination, health, content, actions)
 
-    def _deposit_or_release(self, now: float, dest: int, healthy_here: bool, actions: ProbingActions) -> None:
-        """Release a destination that needs no coordination here, unless others need the quota of this sender."""
-        if healthy_here or not self._deposit_unused_quota(now, dest, actions):
+    def _deposit_or_release(
+        self, now: float, dest: int, locally_healthy: bool, actions: ProbingActions
+    ) -> None:
+        """Release a destination that needs no coordination here, unless other senders can use this sender's quota."""
+        if locally_healthy or not self._deposit_unused_quota(now, dest, actions):
             self._release(now, dest, actions)
 
     def _deposit_unused_quota(self, now: float, dest: int, actions: ProbingActions) -> bool:
-        """Deposit the quota of a destination that is unhealthy elsewhere; return whether it is, by announcement."""
+        """Deposit the quota of a destination that was announced as down or recovering; return whether it was."""
         announcement = self._announcements.get(dest)
         destination = self.destinations[dest]
         if announcement is None or destination.standalone:
             return False
-        lasts_ms = ANNOUNCEMENT_RETENTION_MS if announcement.down else announcement.sharing_ms
-        if now - announcement.received_at > lasts_ms:
+        retention_ms = ANNOUNCEMENT_RETENTION_MS if announcement.down else announcement.sharing_ms
+        if now - announcement.received_at > retention_ms:
             return False
         last_contact_at = max(destination.last_response_at, announcement.received_at)
         destination.standalone = now - last_contact_at > self.parameters.deposit_ms
         if now - destination.last_request_at >= DEPOSIT_INTERVAL_MS:
-            self._add_request(now, destination, unused_health(now, dest), 0.0, actions)
-        # A message for it may arrive at any moment: the policy has to know its quota by then.
+            self._add_request(now, destination, idle_destination_health(now, dest), 0.0, actions)
+        # A message for it may arrive at any time, and the policy must already have its quota then.
         usable = destination.lease_holder.usable_quota(now)
         quota = 0.0 if announcement.down else max(MIN_QUOTA, usable)
         actions.issue_quota(now, dest, destination, quota, 2.0 * DEPOSIT_INTERVAL_MS)
         return True
 
     def _release(self, now: float, dest: int, actions: ProbingActions) -> None:
-        """Give back the grant of a healthy destination, and forget it once no coordinator counts on a deposit."""
+        """Return the grant of a healthy destination, and drop its state once no coordinator can hold a deposit."""
         destination = self.destinations[dest]
         holder = destination.lease_holder
         actions.revoke_quota(now, dest, destination)
         if holder.granted_amount(now) > 0.0:
-            self._add_request(now, destination, unused_health(now, dest), 0.0, actions)
+            self._add_request(now, destination, idle_destination_health(now, dest), 0.0, actions)
         elif (
             holder.deposited_amount(now) <= 0.0
             and now - destination.last_request_at > self.parameters.deposit_ms
@@ -250,7 +252,7 @@
         demand: float,
         actions: ProbingActions,
     ) -> None:
-        """Add a request with this sender's report to the coordinator, if there is one."""
+        """Add a request with this sender's report to the coordinator, if one is known."""
         self._add_request_with_state(
             now, destination, health, RequestContent(health.reported_state(now), demand), actions
         )
@@ -278,7 +280,7 @@
         actions.requests.setdefault(coordinator, []).append(request_row(now, health, content.state, request))
 
     def handle_response(self, now: float, coordinator: str, row: ResponseRow) -> None:
-        """Use a coordinator's response; one that is late, or not of the present coordinator, changes nothing."""
+        """Apply a response of the current coordinator; ignore one that is late or from another member."""
         destination = self.destinations.get(row.dest)
         if destination is None or coordinator != destination.coordinator:
             return
@@ -295,7 +297,7 @@
         destination.down = row.down
         destination.uncoordinated = row.uncoordinated
         if holder.epoch != previous_epoch:
-            # The coordinator knows this sender now: deposits count from the next request on, which is due at once.
+            # The coordinator now knows this sender.  Deposits count from the next request on, so send it at once.
             destination.last_request_at = -math.inf
 
     # Announcements -------------------------------------------------------------------------------
@@ -307,10 +309,10 @@
         row: AnnouncementRow,
         read_health: Callable[[int], DestinationHealth | None],
     ) -> ProbingActions:
-        """Use a coordinator's announcement: only the newest of the present coordinator counts.
+        """Apply a coordinator's announcement if it is the newest one of the current coordinator.
 
-        An announcement that is older than evidence here is refuted.  A destination that the policy does not know
-        (`read_health` returns none), or whose endpoints fail independently, is ignored.
+        An announced outage is refuted if this sender has had a recent success.  An announcement is ignored if
+        `read_health` returns `None`: the policy does not know the destination, or its endpoints fail independently.
         """
         actions = ProbingActions()
         health = read_health(row.dest)
@@ -332,7 +334,7 @@
 
     def _is_stale(self, coordinator: str, row: AnnouncementRow) -> bool:
         known = self._announcements.get(row.dest)
-        if known and known.supersedes(coordinator, row.epoch, row.announcement_number):
+        if known and known.is_at_least_as_new_as(coordinator, row.epoch, row.announcement_number):
             return True
         return coordinator != coordinator_of(row.dest, self._member_names)
 
@@ -364,7 +366,7 @@
         down: bool,
         actions: ProbingActions,
     ) -> None:
-        """Give the policy the announced health, and no quota during an outage until its turn."""
+        """Pass the announced health to the policy, without quota during an outage until this sender's turn."""
         event = HealthReported(row.dest, not down, now - row.observation_age_ms, now - row.up_age_ms)
         actions.events.append(event)
         if down and destination.turn_started_at is None:
@@ -373,7 +375,7 @@
     def _refute(
         self, now: float, destination: ProbedDestination, health: DestinationHealth, actions: ProbingActions
     ) -> None:
-        """Report this sender's recent success in place of the announced outage."""
+        """Report this sender's recent success to the coordinator instead of accepting the announced outage."""
         self.counts["refuted"] += 1
         destination.refuting_until = now + REFUTATION_MS
         destination.uncoordinated = True
--- a/kestreltrack/fleet/outage_probing/probe_turns.py
+++ b/kestreltrack/fleet/outage_probing/probe_turns.py
@@ -1,7 +1,8 @@
-"""Turns to probe a destination that is down, seen from one participant.
+"""A participant's turns to probe a destination that is down.
 
-During an outage a sender has quota only in its turn, and a turn is one probe.  The coordinator paces the turns: it
-grants all of the pool to one sender at a time.  Without a coordinator a sender paces itself, within its own quota.
+During an outage a sender has quota only during its turn, and a turn is one probe.  The coordinator schedules the
+turns by granting the whole pool to one sender at a time.  Without a coordinator, a sender schedules its own turns
+within its own quota.
 """
 
 from __future__ import annotations
@@ -12,36 +13,36 @@
 from kestreltrack.fleet.outage_probing.state import DestinationHealth, ProbedDestination
 from kestreltrack.fleet.outage_probing.timing import PROBE_TURN_MS
 
-# Given in place of none after the outage: the policy then knows that no turn is coming that it should wait for.
+# Issued instead of 0 after an outage: a quota of 0 would make the policy wait for a turn.
 MIN_QUOTA = 1e-6
-# Stands for a rate of zero, so that an interval stays finite.
+# Lower bound on a call rate: keeps the turn interval finite at a rate of 0.
 MIN_RATE_PER_S = 1e-6
 
 
 class TurnChange(Enum):
-    """What happened to a turn."""
+    """Change of a turn during one tick."""
 
     NONE = "none"
     STARTED = "started"
-    # It ended, and the grant goes back to the coordinator: the next turn is another sender's.
+    # The turn ended, and the grant is returned to the coordinator so that another sender has the next turn.
     RETURNED = "returned"
 
 
 @dataclass(frozen=True, slots=True)
 class TurnResult:
-    """The quota that the policy may use now, and what happened to the turn."""
+    """The quota that the policy may use now, and how the turn changed."""
 
     quota: float
     change: TurnChange = TurnChange.NONE
 
 
 def turn_interval_ms(rate_per_s: float) -> float:
-    """Return the time between turns of a sender that may make so many calls a second."""
+    """Return the time between turns of a sender with the given call rate."""
     return max(PROBE_TURN_MS, 1000.0 / max(rate_per_s, MIN_RATE_PER_S))
 
 
 def advance_turn(now: float, destination: ProbedDestination, health: DestinationHealth) -> TurnResult:
-    """Start, continue or end a turn; during an outage the quota is above 0 only for one probe."""
+    """Start, continue or end a turn; during an outage the quota is positive only until the turn's probe starts."""
     if not health.down:
         destination.turn_started_at = None
         return TurnResult(max(MIN_QUOTA, destination.lease_holder.usable_quota(now)))
@@ -57,7 +58,7 @@
 
 
 def _outage_quota(now: float, destination: ProbedDestination, coordinated: bool) -> float:
-    """Return the quota of a turn: the coordinator grants all of the pool to the sender whose turn it is."""
+    """Return the quota of a turn: the coordinator's grant if it schedules the turns, else the sender's own quota."""
     if coordinated:
         return destination.lease_holder.granted_amount(now)
     return destination.lease_holder.usable_quota(now)
--- a/kestreltrack/fleet/outage_probing/request_rows.py
+++ b/kestreltrack/fleet/outage_probing/request_rows.py
@@ -1,4 +1,4 @@
-"""Rows of requests to coordinators, from the health of a destination and a lease request."""
+"""Builds request rows for coordinators from the health of a destination and a lease request."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestContent:
-    """What a request reports and demands."""
+    """The state that a request reports, and the fraction of the budget that it demands."""
 
     state: ReportedState
     demand: float
 
 
 def retry_after_content(health: DestinationHealth) -> RequestContent:
-    """Return what a request that forwards a retry-after says besides: not whether the destination is up."""
+    """Return the content of a request that forwards a retry-after; it never reports that the destination is up."""
     if health.down:
         return RequestContent(ReportedState.DOWN, health.useful_quota())
     return RequestContent(ReportedState.UNKNOWN, health.demand if health.in_slow_start else 0.0)
@@ -27,7 +27,7 @@
 def request_row(
     now: float, health: DestinationHealth, state: ReportedState, request: QuotaLeaseRequest
 ) -> RequestRow:
-    """Return the row of a request: times as ages, amounts within their bounds."""
+    """Return a request row, with times as ages and amounts clamped to the bounds of the wire format."""
     observed_at = health.last_failure_at if health.down else health.last_success_at
     return RequestRow(
         health.dest,
--- a/kestreltrack/fleet/outage_probing/state.py
+++ b/kestreltrack/fleet/outage_probing/state.py
@@ -1,4 +1,4 @@
-"""What a participant knows of a destination, and what it wants done."""
+"""A participant's state of a destination, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationHealth:
-    """What the policy knows of one destination; times are milliseconds of this sender's clock."""
+    """The policy's view of one destination; times are milliseconds of this sender's clock."""
 
     dest: int
-    # Whether there is an outage that no success has ended.
+    # Whether there has been an outage without a success since.
     down: bool
     in_slow_start: bool
     slow_start_since: float
@@ -26,11 +26,11 @@
     last_attempt_at: float
     # Whether a half-open trial call is in flight and not overdue.
     probe_in_flight: bool
-    # What this sender could use of the slow-start budget, 0 to 1.
+    # Fraction of the slow-start budget that this sender could use, 0 to 1.
     demand: float
-    # The complete slow-start budget, in calls a second.
+    # The slow-start budget of the whole fleet, in calls a second.
     slow_start_rate: float
-    # The latest retry-after that this sender has received.
+    # End of the latest retry-after that this sender has received.
     retry_after_until: float = -math.inf
 
     def reported_state(self, now: float) -> ReportedState:
@@ -42,13 +42,13 @@
         return ReportedState.UNKNOWN
 
     def useful_quota(self) -> float:
-        """Return the demand that a request has: all of the budget during an outage, since one sender probes."""
+        """Return the demand for a request: the whole budget during an outage, since one sender probes at a time."""
         if self.down:
             return 1.0
         return self.demand
 
 
-def unused_health(now: float, dest: int) -> DestinationHealth:
+def idle_destination_health(now: float, dest: int) -> DestinationHealth:
     """Return the health of a destination that this sender has no messages for."""
     return DestinationHealth(
         dest,
@@ -65,60 +65,61 @@
 
 
 class IssuedQuota(NamedTuple):
-    """A quota that the policy was given, and until when."""
+    """A quota that was issued to the policy, and when it expires."""
 
     amount: float
     until: float
 
 
-# Differs from every quota that can be issued.
+# Compares unequal to any quota that can be issued.
 NO_QUOTA_ISSUED = IssuedQuota(-1.0, -math.inf)
 
 
 @dataclass(slots=True)
 class ProbedDestination:
-    """One destination that is down, recovering, or of concern to other senders."""
+    """A participant's state of a destination that is down or recovering, here or for other senders."""
 
     lease_holder: LeaseHolder
     coordinator: str = ""
-    # When it was last down or in slow start here.
+    # When the destination was last down or in slow start for this sender.
     last_unhealthy_at: float = -math.inf
     last_request_at: float = -math.inf
     last_response_at: float = -math.inf
-    # The newest request that was answered.
+    # Sequence number of the newest request that was answered.
     last_answered_seq: int = 0
-    # The coordinator's verdict.
+    # Whether the coordinator says that the destination is down and turns are in effect.
     down: bool = False
-    # Whether the coordinator sees no outage or recovery: each sender then acts on its own.
+    # Whether the coordinator knows of no outage or recovery, so that each sender acts on its own.
     uncoordinated: bool = False
-    # Whether no coordinator answers: this sender acts on its own, within its own quota.
+    # Whether no coordinator answers, so that this sender acts on its own within its own quota.
     standalone: bool = False
+    # Until when this sender keeps reporting its successes after it refuted an announced outage.
     refuting_until: float = -math.inf
     # The state in the last request.
     reported_state: ReportedState = ReportedState.UNKNOWN
-    # When this sender's turn to probe began; none outside a turn.
+    # When this sender's current turn started; `None` outside a turn.
     turn_started_at: float | None = None
-    # When the next turn begins while no coordinator decides that.
+    # When the next turn starts if no coordinator schedules the turns.
     next_turn_at: float | None = None
-    # The longest retry-after that the coordinator was sent.
+    # End of the latest retry-after that was reported to the coordinator.
     reported_retry_after_until: float = -math.inf
     last_quota: IssuedQuota = NO_QUOTA_ISSUED
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedAnnouncement:
-    """A coordinator's announcement, and when it was received."""
+    """A coordinator's announcement and the time when it was received."""
 
     coordinator: str
     epoch: int
     announcement_number: int
     down: bool
     received_at: float
-    # How long the slow-start budget is still shared; 0 where the coordinator has seen no outage.
+    # How long the slow-start budget is shared from then on; 0 if the coordinator has seen no outage.
     sharing_ms: float
 
-    def supersedes(self, coordinator: str, epoch: int, announcement_number: int) -> bool:
-        """Return whether it is as new as another announcement of the same coordinator, or newer."""
+    def is_at_least_as_new_as(self, coordinator: str, epoch: int, announcement_number: int) -> bool:
+        """Return whether it is at least as new as another announcement of the same coordinator."""
         return self.coordinator == coordinator and (self.epoch, self.announcement_number) >= (
             epoch,
             announcement_number,
@@ -127,26 +128,26 @@
 
 @dataclass(slots=True)
 class ProbingActions:
-    """What a tick or a packet results in."""
+    """Requests to send and events for the policy that a tick or a packet results in."""
 
     # Requests to send, by coordinator.
     requests: dict[str, list[RequestRow]] = field(default_factory=dict)
     # Events for the policy.
     events: list[QuotaLeased | HealthReported | RetryAfterReceived] = field(default_factory=list)
-    # Destinations that it is now this sender's turn to probe.
+    # Destinations for which this sender's turn to probe has just started.
     started_turns: list[int] = field(default_factory=list)
 
     def issue_quota(
         self, now: float, dest: int, destination: ProbedDestination, quota: float, valid_ms: float
     ) -> None:
-        """Give the policy a quota that differs from the last, or renew one that has less than half its time left."""
+        """Issue a quota to the policy if the amount has changed or less than half of its validity is left."""
         last_amount, last_until = destination.last_quota
         if quota != last_amount or last_until - now < valid_ms / 2.0:
             destination.last_quota = IssuedQuota(quota, now + valid_ms)
             self.events.append(QuotaLeased(dest, quota, now + valid_ms))
 
     def revoke_quota(self, now: float, dest: int, destination: ProbedDestination) -> None:
-        """Let the policy act on its own, if a quota that it was given is still valid."""
+        """Let the policy act on its own if the last quota issued to it is still valid."""
         if destination.last_quota.until > now:
             destination.last_quota = NO_QUOTA_ISSUED
             self.events.append(QuotaLeased(dest, 1.0, now))
--- a/kestreltrack/fleet/outage_probing/timing.py
+++ b/kestreltrack/fleet/outage_probing/timing.py
@@ -1,24 +1,24 @@
-"""Durations that participants and coordinators share, in milliseconds."""
+"""Durations in milliseconds that participants and coordinators share."""
 
 from __future__ import annotations
 
-# Between requests about one destination: four within a grant.
+# Interval between requests about one destination: four fit into the duration of a grant.
 REQUEST_INTERVAL_MS = 500.0
-# Between requests of a sender that has no use for its quota: three within a deposit.
+# Interval between requests of a sender that only deposits its quota: three fit into the duration of a deposit.
 DEPOSIT_INTERVAL_MS = 1_500.0
-# After its last success a sender no longer reports that the destination is up.
+# For this long after its last success, a sender reports that the destination is up.
 SUCCESS_FRESH_MS = 2000.0
-# A turn has to be used within this time, and turns are at least so far apart: the policy's own longest backoff.
+# Time within which a turn must be used, and the minimum time between turns: the policy's own maximum backoff.
 PROBE_TURN_MS = 1000.0
-# How long the policy may use a quota that it was given; it is given again at half of it.
+# Validity of a quota issued to the policy; it is renewed after half of this time.
 QUOTA_VALID_MS = 1000.0
-# Quotas are shared for so long after a slow start: messages queued since the outage are still being delivered.
+# Quotas stay shared for this long after slow start, while messages queued during the outage are still delivered.
 RECOVERY_TAIL_MS = 10_000.0
-# After its return a destination is shared for so long: slow start and tail.
+# Quotas are shared for this long after an outage ends: slow start and the tail after it.
 RECOVERY_SHARING_MS = 2.0 * RECOVERY_TAIL_MS
-# A sender that has refuted an outage goes on reporting its successes for so long.
+# A sender that has refuted an outage keeps reporting its successes for this long.
 REFUTATION_MS = 10_000.0
-# A retry-after is forwarded when at least so much of it is left, and when it is longer than the last by so much.
+# A retry-after is forwarded if at least this much of it is left and it ends at least this much after the last one.
 MIN_RETRY_AFTER_MS = 500.0
-# An announcement about a destination that is healthy here is remembered for so long.
+# Retention of an announcement about a destination that is healthy for this sender.
 ANNOUNCEMENT_RETENTION_MS = 60_000.0
