--- a/kestreltrack/admin/__init__.py
+++ b/kestreltrack/admin/__init__.py
@@ -1,7 +1,8 @@
-"""What operators may ask of a running sender.
+"""The admin interfaces of a running sender: commands on a Unix socket, and an HTTP API.
 
-`command_socket` takes commands on a Unix socket, one JSON line each way, from whoever may open the socket's file;
-`command_client` sends one.  `http_listener` serves the operators' HTTP calls, and `http_api` is what they mean.
+`command_socket` serves commands on a Unix socket, one JSON line per request and per response, to whoever has
+permission to open the socket file; `command_client` sends a command.  `http_listener` accepts the HTTP requests of
+operators, and `http_api` carries them out.
 """
 
 from kestreltrack.admin.errors import AdminError, CommandRejectedError, InvalidResponseError
--- a/kestreltrack/admin/command_client.py
+++ b/kestreltrack/admin/command_client.py
@@ -10,18 +10,18 @@
 
 from kestreltrack.admin.errors import InvalidResponseError
 
-# For each step: a sender answers within a turn of its loop, unless it has stalled.
+# For each socket operation; a sender answers within one iteration of its event loop unless it has stalled.
 TIMEOUT_S = 10.0
 READ_BYTES = 64 * 1024
 MAX_RESPONSE_BYTES = 1024 * 1024
 
 
 def send_command(socket_path: Path, command: str, argument: str = "") -> dict[str, Any]:
-    """Send one command, and return the sender's answer.
+    """Send one command and return the sender's response.
 
     Raises:
-        OSError: No sender listens there, or it does not answer in time.
-        InvalidResponseError: The answer is incomplete, too long or not a JSON object.
+        OSError: No sender listens on the socket, or it does not respond in time.
+        InvalidResponseError: The response is incomplete, too long or not a JSON object.
     """
     request = {"command": command}
     if argument:
@@ -37,10 +37,10 @@
 def _read_line(connection: socket.socket) -> bytes:
     data = b""
     while not data.endswith(b"\n"):
-        part = connection.recv(READ_BYTES)
-        if not part or len(data) > MAX_RESPONSE_BYTES:
-            raise InvalidResponseError("the sender ended the connection without an answer")
-        data += part
+        chunk = connection.recv(READ_BYTES)
+        if not chunk or len(data) > MAX_RESPONSE_BYTES:
+            raise InvalidResponseError("the sender's response is incomplete or too long")
+        data += chunk
     return data
 
 
@@ -50,5 +50,5 @@
     except orjson.JSONDecodeError as error:
         raise InvalidResponseError(str(error)) from error
     if not isinstance(response, dict):
-        raise InvalidResponseError("the answer is not an object")
+        raise InvalidResponseError("the sender's response is not a JSON object")
     return response
--- a/kestreltrack/admin/command_socket.py
+++ b/kestreltrack/admin/command_socket.py
@@ -1,8 +1,9 @@
 """Serves the admin socket.
 
-Input is bounded in length, time and number of connections; a fault of a command does not end the sender.
+The length of a request, the idle time and the number of connections are bounded; an exception in a command does not
+end the sender.
 
-→ {"command": "capture.status"}          with "argument" for a command that takes one
+→ {"command": "capture.status"}          plus "argument" for a command that takes one
 ← {"on": true, …}          or   ← {"error": "…"}
 """
 
@@ -26,30 +27,30 @@
 
 __all__ = ["AdminSocket", "Command", "CommandRejectedError", "CommandRequest"]
 
-# A command and its argument are far shorter.
+# Well above any command with its argument.
 MAX_LINE_BYTES = 4096
-# A few operators, and some that have forgotten to close.
+# Enough for a few operators and some connections that were left open.
 MAX_CONNECTIONS = 8
 IDLE_TIMEOUT_S = 30.0
-# Only the owner may open the socket's file.
+# Only the owner may open the socket file.
 SOCKET_UMASK = 0o177
 
-# Takes the argument where the request has one, and returns the answer; may raise `CommandRejectedError`.
+# Called with the argument if the request has one; returns the response, or raises `CommandRejectedError`.
 Command = Callable[..., dict[str, Any]]
 
 
 class CommandRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """One line of a client."""
+    """One request: a line of JSON from the client."""
 
     command: str
     argument: str = ""
 
 
 class AdminSocket:
-    """A Unix socket that only its owner may open, and the commands it serves."""
+    """Serves commands on a Unix socket that only its owner may open."""
 
     def __init__(self, path: Path, commands: Mapping[str, Command], telemetry: Telemetry) -> None:
-        """Remember the path; nothing is opened before `open`."""
+        """Create the server; `open` starts listening."""
         self.path = path
         self.commands = commands
         self.telemetry = telemetry
@@ -57,14 +58,14 @@
         self._connections = set[asyncio.StreamWriter]()
 
     async def open(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
-            OSError: The path cannot be listened on, or another process does.
+            OSError: The socket cannot be bound to the path, or another process listens on it.
         """
         self._remove_stale_socket()
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        # The file has its mode from the first: nobody can open it before.
+        # The umask applies at creation: a later chmod would leave an interval in which others could open the file.
         previous_umask = os.umask(SOCKET_UMASK)
         try:
             listener.bind(str(self.path))
@@ -78,23 +79,23 @@
         )
 
     def _remove_stale_socket(self) -> None:
-        """Remove the file that a killed process left; never a file of another kind, nor one that is in use."""
+        """Remove the socket file of a killed process; raise `OSError` for any other file and for a socket in use."""
         try:
             mode = self.path.lstat().st_mode
         except FileNotFoundError:
             return
         if not stat.S_ISSOCK(mode):
-            raise FileExistsError(errno.EEXIST, "there is a file of another kind", str(self.path))
+            raise FileExistsError(errno.EEXIST, "the path exists and is not a socket", str(self.path))
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
             try:
                 probe.connect(str(self.path))
             except OSError:
                 self.path.unlink()
                 return
-        raise OSError(errno.EADDRINUSE, "another process listens there", str(self.path))
+        raise OSError(errno.EADDRINUSE, "another process listens on this socket", str(self.path))
 
     def close(self) -> None:
-        """End all connections, and remove the socket's file."""
+        """Stop listening, abort all connections and remove the socket file."""
         if self._server is None:
             return
         self._server.close()
@@ -115,16 +116,16 @@
             # The client closed or reset the connection, or sent nothing for too long.
             pass
         except ValueError:
-            # From the reader: a line beyond its limit.
+            # Raised by the reader for a line that exceeds its limit.
             self.telemetry.record_fault("admin.bad_request", error=f"more than {MAX_LINE_BYTES} bytes")
             with suppress(OSError):
-                _write_response(writer, {"error": f"a line holds {MAX_LINE_BYTES} bytes at most"})
+                _write_response(writer, {"error": f"a line may have at most {MAX_LINE_BYTES} bytes"})
         finally:
             self._connections.discard(writer)
             writer.close()
 
     async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one line after the other until the connection ends."""
+        """Answer requests in order until the client closes the connection or is idle for too long."""
         while True:
             async with asyncio.timeout(IDLE_TIMEOUT_S):
                 line = await reader.readline()
@@ -134,7 +135,7 @@
                 await writer.drain()
 
     def _run_command(self, line: bytes) -> dict[str, Any]:
-        """Return the answer to one line."""
+        """Run the command of one request line and return the response."""
         try:
             request = msgspec.json.decode(line, type=CommandRequest)
         except msgspec.MsgspecError as error:
@@ -143,14 +144,14 @@
         command = self.commands.get(request.command)
         if command is None:
             self.telemetry.record_fault("admin.bad_request", error=f"unknown command {request.command!r}")
-            return {"error": f"unknown command; there are {', '.join(sorted(self.commands))}"}
+            return {"error": f"unknown command; known commands: {', '.join(sorted(self.commands))}"}
         try:
             response = command(request.argument) if request.argument else command()
         except CommandRejectedError as error:
             return {"error": str(error)}
-        except Exception as error:  # a fault of a command must not end the process that owes answers
+        except Exception as error:  # the sender must go on serving its clients
             self.telemetry.record_fault("admin.fault", error=repr(error), command=request.command)
-            return {"error": "internal error; the sender's log tells more"}
+            return {"error": "internal error; see the sender's log"}
         self.telemetry.log("admin", command=request.command)
         return response
 
--- a/kestreltrack/admin/errors.py
+++ b/kestreltrack/admin/errors.py
@@ -1,15 +1,15 @@
-"""The errors of the operators' commands and calls."""
+"""Errors of the admin interfaces."""
 
 from __future__ import annotations
 
 
 class AdminError(Exception):
-    """An operator's command or call was not carried out; the text says why."""
+    """A command or request of an operator was not carried out; the message gives the reason."""
 
 
 class CommandRejectedError(AdminError):
-    """The command cannot be carried out now; the text goes to the operator."""
+    """The command cannot be carried out now; the message is sent to the operator."""
 
 
 class InvalidResponseError(AdminError, ValueError):
-    """The running sender's answer to a command cannot be read; its log may say why."""
+    """The sender's response to a command cannot be parsed; the sender's log may give the reason."""
--- a/kestreltrack/admin/http_api.py
+++ b/kestreltrack/admin/http_api.py
@@ -1,45 +1,47 @@
-"""What the operators' calls mean: a method, a path and a body in, a status and a plain text out.  No I/O.
+"""The HTTP API for operators: maps a method, a path and a body to a status and a plain text.  No I/O.
 
 GET /api/ready        200 while this process accepts clients, else 503
-GET /api/telemetry    200, the metrics, one ``name:value|c`` or ``|g`` a line (the form of statsd)
-PUT /api/exclude ID   200 once nothing more is sent to endpoint ID; 404 for an id never listed
-PUT /api/include ID   200, endpoint ID may be used again; 404 for an id never listed
-PUT /api/evacuate     200, the sender empties: PING is answered with an error, new clients go elsewhere
+GET /api/telemetry    200, the metrics in statsd format: one ``name:value|c`` or ``name:value|g`` per line
+PUT /api/exclude ID   200 once nothing more is sent to endpoint ID; 404 if ID was never listed
+PUT /api/include ID   200, endpoint ID may be used again; 404 if ID was never listed
+PUT /api/evacuate     200, no more clients are accepted: PING fails, so that new clients connect to another sender
 PUT /api/rejoin       200, clients are accepted again
+
+The ID is the body of the request.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple, Protocol
 
-# An id of an endpoint is far shorter.
+# Well above the length of an endpoint id.
 MAX_BODY_BYTES = 1024
 
 
 class Operations(Protocol):
-    """What a running sender does for its operators."""
+    """The operations of a running sender that operators may request."""
 
     def ready(self) -> bool:
         """Return whether this process accepts clients now."""
 
     def metrics(self) -> str:
-        """Return the metrics in the operators' form."""
+        """Return the metrics in statsd format."""
 
     def exclude(self, uid: str) -> None:
-        """Send nothing more to an endpoint; raises `KeyError` for an id never listed."""
+        """Stop sending to an endpoint; raises `KeyError` for an id that was never listed."""
 
     def include(self, uid: str) -> None:
-        """Use an endpoint again; raises `KeyError` for an id never listed."""
+        """Allow sending to an endpoint again; raises `KeyError` for an id that was never listed."""
 
     def evacuate(self) -> None:
-        """Send clients away; the messages that are held are still delivered."""
+        """Stop accepting clients; messages that were already accepted are still delivered."""
 
     def rejoin(self) -> None:
         """Accept clients again."""
 
 
 class Response(NamedTuple):
-    """The answer to a call: an HTTP status, and a plain text that ends with a line feed."""
+    """An HTTP status, and a plain text that ends with a line feed."""
 
     status: int
     text: str
@@ -56,13 +58,13 @@
 
 
 def handle_request(operations: Operations, method: str, target: str, body: bytes) -> Response:
-    """Carry out one call; a response with a 4xx says what is wrong, and changes nothing."""
+    """Carry out one request; one that gets a 4xx response changes nothing."""
     path = target.split("?", 1)[0]
     allowed_method = METHOD_BY_PATH.get(path)
     if allowed_method is None:
-        return Response(404, f"no such call: {path}; there are {', '.join(sorted(METHOD_BY_PATH))}\n")
+        return Response(404, f"unknown path {path}; known paths: {', '.join(sorted(METHOD_BY_PATH))}\n")
     if method != allowed_method:
-        return Response(405, f"{path} is called with {allowed_method}\n")
+        return Response(405, f"{path} requires the method {allowed_method}\n")
     return _carry_out(operations, path, body)
 
 
@@ -89,13 +91,13 @@
 
 
 def _change_exclusion(operations: Operations, path: str, body: bytes) -> Response:
-    """Exclude or include the endpoint whose id the body holds."""
+    """Exclude or include the endpoint whose id is the body."""
     try:
         uid = body.decode().strip()
     except UnicodeDecodeError:
-        return Response(400, "the body is not text: it is to hold the id of an endpoint\n")
+        return Response(400, "the body is not UTF-8: expected the id of an endpoint\n")
     if not uid or any(character.isspace() for character in uid):
-        return Response(400, "the body is to hold the id of one endpoint\n")
+        return Response(400, "invalid body: expected the id of one endpoint\n")
     try:
         if path == "/api/exclude":
             operations.exclude(uid)
--- a/kestreltrack/admin/http_listener.py
+++ b/kestreltrack/admin/http_listener.py
@@ -1,8 +1,7 @@
-"""The operators' HTTP/1.1 listener: one call a connection, parsed by h11, answered within a second.
+"""The HTTP/1.1 listener for operators: one request per connection, parsed by h11, answered within a second.
 
-Reads are bounded in time (`REQUEST_TIMEOUT_S` for the complete call) and in size; connections are bounded in number,
-and the oldest is closed for a new one, so that callers who hold connections without a complete call keep nobody
-waiting.
+A request is bounded in time (`REQUEST_TIMEOUT_S` until it is complete) and in size.  The number of connections is
+bounded too: a new connection replaces the oldest, so that clients that never complete a request cannot block others.
 """
 
 from __future__ import annotations
@@ -17,18 +16,17 @@
 from kestreltrack.http1 import split_address
 from kestreltrack.telemetry import Telemetry
 
-# For a complete call: the answer is due within 1 s of its first byte.
+# Until the request is complete; the response is due within 1 s of the first byte.
 REQUEST_TIMEOUT_S = 0.8
-# Connections at once; beyond that the oldest is closed.
+# A further connection closes the oldest.
 MAX_CONNECTIONS = 32
 MAX_HEADER_BYTES = 8 * 1024
 READ_BYTES = 4096
-# The first status that is an error.
 FIRST_ERROR_STATUS = 400
 
 
-class _RejectedCallError(Exception):
-    """A call that cannot be carried out as it came; holds the answer."""
+class _RejectedRequestError(Exception):
+    """A request that is malformed, too large or too slow; holds the response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -37,26 +35,26 @@
 
 
 class AdminListener:
-    """Serves `Operations` at a TCP address."""
+    """Serves `Operations` over HTTP at a TCP address."""
 
     def __init__(self, operations: Operations, telemetry: Telemetry) -> None:
-        """Remember what to serve; nothing is opened before `open`."""
+        """Create the listener; `open` starts listening."""
         self.operations = operations
         self.telemetry = telemetry
         self._server: asyncio.Server | None = None
-        # A dict for its order: the oldest connection is first.
+        # A dict, because it keeps the order of insertion: the oldest connection is first.
         self._connections: dict[asyncio.StreamWriter, None] = {}
 
     async def open(self, address: str) -> str:
-        """Listen, and return the address with the port that was bound.
+        """Start listening and return the address with the bound port.
 
         Raises:
-            OSError: The address cannot be listened on.
+            OSError: The address cannot be bound.
         """
         host, port = split_address(address)
         listener = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # Connections inherit it.
+        # Accepted connections inherit the option.
         listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         listener.bind((host, port))
         self._server = await asyncio.start_server(
@@ -66,7 +64,7 @@
         return f"{host}:{port}"
 
     def close(self) -> None:
-        """End the listener and all connections."""
+        """Stop listening and abort all connections."""
         if self._server:
             self._server.close()
         for writer in list(self._connections):
@@ -79,20 +77,20 @@
             oldest.transport.abort()
         self._connections[writer] = None
         try:
-            response = await self._handle_call(reader)
+            response = await self._handle_request(reader)
             await _write_response(writer, response)
         except (OSError, h11.ProtocolError):
-            # The caller closed or reset the connection.
+            # The client closed or reset the connection.
             pass
         finally:
             self._connections.pop(writer, None)
             writer.close()
 
-    async def _handle_call(self, reader: asyncio.StreamReader) -> Response:
-        """Read one call and carry it out; one that is malformed, too large or too slow is answered with a 4xx."""
+    async def _handle_request(self, reader: asyncio.StreamReader) -> Response:
+        """Read one request and carry it out; one that is malformed, too large or too slow gets a 4xx response."""
         try:
             request, body = await _read_request_in_time(reader)
-        except _RejectedCallError as error:
+        except _RejectedRequestError as error:
             self.telemetry.record_fault("admin.bad_request", status=error.status, error=error.text)
             return Response(error.status, error.text + "\n")
         response = handle_request(
@@ -112,9 +110,11 @@
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
             return await _read_request(reader)
     except TimeoutError as error:
-        raise _RejectedCallError(408, f"a call has to come whole within {REQUEST_TIMEOUT_S} s") from error
+        raise _RejectedRequestError(
+            408, f"the request was not complete within {REQUEST_TIMEOUT_S} s"
+        ) from error
     except h11.RemoteProtocolError as error:
-        raise _RejectedCallError(400, f"not HTTP/1.1: {error}") from error
+        raise _RejectedRequestError(400, f"not HTTP/1.1: {error}") from error
 
 
 async def _read_request(reader: asyncio.StreamReader) -> tuple[h11.Request, bytearray]:
@@ -127,22 +127,22 @@
         if event is h11.NEED_DATA:
             data = await reader.read(READ_BYTES)
             if not data:
-                raise _RejectedCallError(400, "the call ended before it was whole")
+                raise _RejectedRequestError(400, "the request is incomplete")
             parser.receive_data(data)
         elif isinstance(event, h11.Request):
             request = event
         elif isinstance(event, h11.Data):
             body += event.data
             if len(body) > MAX_BODY_BYTES:
-                raise _RejectedCallError(413, f"a body holds {MAX_BODY_BYTES} bytes at most")
+                raise _RejectedRequestError(413, f"a body may have at most {MAX_BODY_BYTES} bytes")
         elif isinstance(event, h11.EndOfMessage) and request is not None:
             return request, body
         else:
-            raise _RejectedCallError(400, "the call ended before it was whole")
+            raise _RejectedRequestError(400, "the request is incomplete")
 
 
 async def _write_response(writer: asyncio.StreamWriter, response: Response) -> None:
-    """Write a response and return once the caller takes it, or the time for that is over."""
+    """Write a response and wait until the client has taken it, for `REQUEST_TIMEOUT_S` at most."""
     writer.write(_encode_response(response))
     with suppress(TimeoutError):
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
@@ -156,7 +156,8 @@
         (b"Content-Length", b"%d" % len(data)),
         (b"Connection", b"close"),
     ]
-    # A connection of its own, after a complete request: the caller's may have failed, or be in the middle of a body.
+    # A separate h11 connection that has seen a complete request: the client's may be in an error state, or in the
+    # middle of a body.
     connection = h11.Connection(h11.SERVER)
     connection.receive_data(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     connection.next_event()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin socket: for its owner alone, bounded, and no risk to the sender; a capture by commands."""
+"""The admin socket: access, bounds and failing commands; and the control of a capture."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
 }
 
 
-def run_on_socket(path: Path, scenario: Callable[[Path, Telemetry], Awaitable[None]]) -> None:
-    async def go() -> None:
+def run_with_server(path: Path, scenario: Callable[[Path, Telemetry], Awaitable[None]]) -> None:
+    async def serve() -> None:
         telemetry = Telemetry()
         server = AdminSocket(path, COMMANDS, telemetry)
         await server.open()
@@ -61,7 +61,7 @@
             server.close()
         assert not path.exists()
 
-    asyncio.run(go())
+    asyncio.run(serve())
 
 
 async def send(path: Path, data: bytes) -> dict[str, Any]:
@@ -69,11 +69,11 @@
     writer.write(data)
     line = await reader.readline()
     writer.close()
-    answer: dict[str, Any] = json.loads(line)
-    return answer
+    response: dict[str, Any] = json.loads(line)
+    return response
 
 
-def test_commands_are_answered_also_after_one_that_fails(tmp_path: Path) -> None:
+def test_commands_are_answered_after_one_that_raised(tmp_path: Path) -> None:
     async def scenario(path: Path, telemetry: Telemetry) -> None:
         assert stat.S_IMODE(path.stat().st_mode) == 0o600
         assert await asyncio.to_thread(send_command, path, "ok") == {"fine": 1}
@@ -81,15 +81,15 @@
         assert "internal error" in (await asyncio.to_thread(send_command, path, "fault"))["error"]
         assert telemetry.counters["admin.fault"] == 1
         assert (
-            "there are fault, ok, refuse"
+            "known commands: fault, ok, refuse"
             in (await asyncio.to_thread(send_command, path, "nonsense"))["error"]
         )
         assert await asyncio.to_thread(send_command, path, "ok") == {"fine": 1}
 
-    run_on_socket(tmp_path / "s", scenario)
+    run_with_server(tmp_path / "s", scenario)
 
 
-BAD = [
+MALFORMED_REQUESTS = [
     b"junk\n",
     b"{}\n",
     b'{"command": 7}\n',
@@ -98,30 +98,30 @@
 ]
 
 
-@pytest.mark.parametrize("data", BAD, ids=["junk", "empty", "type", "unknown", "endless"])
+@pytest.mark.parametrize("data", MALFORMED_REQUESTS, ids=["junk", "empty", "type", "unknown", "endless"])
 def test_malformed_input_gets_an_error_and_is_counted(tmp_path: Path, data: bytes) -> None:
     async def scenario(path: Path, telemetry: Telemetry) -> None:
         assert "error" in await send(path, data)
         assert telemetry.counters["admin.bad_request"] == 1
         assert await send(path, b'{"command": "ok"}\n') == {"fine": 1}
 
-    run_on_socket(tmp_path / "s", scenario)
+    run_with_server(tmp_path / "s", scenario)
 
 
-def test_connections_are_bounded(tmp_path: Path) -> None:
+def test_a_connection_beyond_the_limit_is_closed(tmp_path: Path) -> None:
     async def scenario(path: Path, telemetry: Telemetry) -> None:
-        held = [await asyncio.open_unix_connection(str(path)) for _ in range(MAX_CONNECTIONS)]
+        open_connections = [await asyncio.open_unix_connection(str(path)) for _ in range(MAX_CONNECTIONS)]
         reader, writer = await asyncio.open_unix_connection(str(path))
         assert await reader.read() == b""
         writer.close()
         assert telemetry.counters["admin.evicted"] == 1
-        for _, held_writer in held:
-            held_writer.close()
+        for _, open_writer in open_connections:
+            open_writer.close()
 
-    run_on_socket(tmp_path / "s", scenario)
+    run_with_server(tmp_path / "s", scenario)
 
 
-def test_a_stale_socket_is_replaced_and_no_other_file_is(tmp_path: Path) -> None:
+def test_a_stale_socket_is_replaced_but_no_socket_in_use_and_no_other_file(tmp_path: Path) -> None:
     async def go() -> None:
         path = tmp_path / "s"
         first, second = (AdminSocket(path, COMMANDS, Telemetry()) for _ in range(2))
@@ -129,14 +129,14 @@
         with pytest.raises(OSError, match="another process"):
             await second.open()
         assert first._server
-        first._server.close()  # as a kill would leave it: the file is still there
+        first._server.close()  # a killed process leaves the socket file behind
         await second.open()
         assert await send(path, b'{"command": "ok"}\n') == {"fine": 1}
         second.close()
-        path.write_text("precious")
-        with pytest.raises(OSError, match="another kind"):
+        path.write_text("content")
+        with pytest.raises(OSError, match="not a socket"):
             await second.open()
-        assert path.read_text() == "precious"
+        assert path.read_text() == "content"
 
     asyncio.run(go())
 
@@ -163,7 +163,7 @@
                 dispatcher.notify(AttemptEnded(pending._message_id, 0, "e1", Outcome.OK, 5.0, True))
                 pending.remove()
 
-        await submit(0)  # in flight since before the capture
+        await submit(0)  # stays in flight; arrived before the capture starts
         assert recording.start()["on"] and dispatcher.decider is not policy
         await submit(1)
         await submit(2)
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls: their responses, exclusion against updates of discovery, the bounds of the listener."""
+"""The HTTP API for operators: responses, exclusions combined with discovery updates, and the listener's bounds."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FakeOperations:
-    """Records the calls; knows endpoints s-1 and s-2."""
+    """Keeps the exclusions and whether it is evacuated; knows the endpoints s-1 and s-2."""
 
     def __init__(self) -> None:
         self.excluded = set[str]()
@@ -62,7 +62,7 @@
         ("GET", "/api/nothing", b"", 404),
     ],
 )
-def test_each_call_gets_its_response_and_an_invalid_one_changes_nothing(
+def test_each_request_gets_its_status_and_an_invalid_one_changes_nothing(
     method: str, path: str, body: bytes, status: int
 ) -> None:
     operations = FakeOperations()
@@ -71,7 +71,7 @@
     assert operations.excluded == ({"s-1"} if status == 200 and path == "/api/exclude" else set())
 
 
-def test_evacuate_ends_readiness_and_rejoin_restores_it() -> None:
+def test_evacuate_ends_readiness_until_rejoin() -> None:
     operations = FakeOperations()
     assert handle_request(operations, "PUT", "/api/evacuate", b"")[0] == 200
     assert handle_request(operations, "GET", "/api/ready", b"")[0] == 503
@@ -88,15 +88,13 @@
     return {entry.endpoint: entry.lifecycle for entry in update.entries}
 
 
-def test_an_excluded_endpoint_stays_draining_whatever_discovery_says_until_it_is_included() -> None:
+def test_an_excluded_endpoint_is_draining_until_included_unless_discovery_removes_it() -> None:
     endpoint_list = EndpointList()
     exclusions = EndpointExclusions(endpoint_list)
     update = endpoint_list.apply(EndpointListUpdate(1, True, (listed("s-1"), listed("s-2"))))
     assert states(exclusions.apply_to(update)) == {"s-1": EndpointLifecycle.UP, "s-2": EndpointLifecycle.UP}
     assert states(exclusions.exclude("s-1")) == {"s-1": EndpointLifecycle.DRAINING}
-    assert states(exclusions.exclude("s-1")) == {"s-1": EndpointLifecycle.DRAINING}, (
-        "a repeated call does no harm"
-    )
+    assert states(exclusions.exclude("s-1")) == {"s-1": EndpointLifecycle.DRAINING}, "exclude is idempotent"
     second_update = endpoint_list.apply(EndpointListUpdate(2, True, (listed("s-1"), listed("s-2"))))
     assert states(exclusions.apply_to(second_update)) == {
         "s-1": EndpointLifecycle.DRAINING,
@@ -106,23 +104,25 @@
         [EndpointEntry("s-1", 1, "plain", "a", EndpointLifecycle.REMOVED)], complete=False
     )
     assert states(exclusions.apply_to(removal)) == {"s-1": EndpointLifecycle.REMOVED}
-    assert states(exclusions.include("s-1")) == {"s-1": EndpointLifecycle.UP}, "one call to include ends it"
+    assert states(exclusions.include("s-1")) == {"s-1": EndpointLifecycle.UP}, (
+        "one include undoes two excludes"
+    )
     with pytest.raises(KeyError):
         exclusions.exclude("s-9")
 
 
-def test_exclusions_stored_by_one_process_are_loaded_by_another() -> None:
+def test_exclusions_dumped_by_one_process_are_loaded_by_another() -> None:
     endpoint_list = EndpointList()
     endpoint_list.apply(EndpointListUpdate(1, True, (listed("s-1"), listed("s-2"))))
     old, new = EndpointExclusions(endpoint_list), EndpointExclusions(endpoint_list)
     old.exclude("s-2")
     assert [states(update) for update in new.load(old.dump())] == [{"s-2": EndpointLifecycle.DRAINING}]
-    assert new.load(old.dump()) == [], "nothing changed"
-    assert new.load(b"{spoilt") == [] and new.excluded == {"s-2"}
+    assert new.load(old.dump()) == [], "no update without a change"
+    assert new.load(b"{invalid") == [] and new.excluded == {"s-2"}
     assert new.is_known("s-2")
 
 
-async def call(port: int, data: bytes) -> bytes:
+async def send_request(port: int, data: bytes) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
@@ -131,7 +131,7 @@
         writer.close()
 
 
-def test_the_listener_answers_while_others_hold_connections_with_partial_calls(
+def test_the_listener_answers_while_others_hold_connections_with_partial_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(http_listener, "MAX_CONNECTIONS", 4)
@@ -140,21 +140,23 @@
         telemetry = Telemetry()
         listener = AdminListener(FakeOperations(), telemetry)
         port = int((await listener.open("127.0.0.1:0")).split(":")[1])
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(6)]
-        for _, writer in held:
+        open_connections = [await asyncio.open_connection("127.0.0.1", port) for _ in range(6)]
+        for _, writer in open_connections:
             writer.write(b"GET /api/re")
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        got = await call(port, b"GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert got.startswith(b"HTTP/1.1 200") and got.endswith(b"ready\n")
-        assert loop.time() - began_s < http_listener.REQUEST_TIMEOUT_S
-        late = await held[-1][0].read()
-        assert late.startswith(b"HTTP/1.1 408"), "a call that is never completed gets an answer"
-        bad = await call(port, b"PUT /api/exclude HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\ns-9")
-        assert bad.startswith(b"HTTP/1.1 404") and b"never listed" in bad
-        assert (await call(port, b"BREW\r\n\r\n")).startswith(b"HTTP/1.1 400")
+        started_s = loop.time()
+        ready = await send_request(port, b"GET /api/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+        assert ready.startswith(b"HTTP/1.1 200") and ready.endswith(b"ready\n")
+        assert loop.time() - started_s < http_listener.REQUEST_TIMEOUT_S
+        incomplete = await open_connections[-1][0].read()
+        assert incomplete.startswith(b"HTTP/1.1 408"), "an incomplete request gets a response"
+        unknown = await send_request(
+            port, b"PUT /api/exclude HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\ns-9"
+        )
+        assert unknown.startswith(b"HTTP/1.1 404") and b"never listed" in unknown
+        assert (await send_request(port, b"BREW\r\n\r\n")).startswith(b"HTTP/1.1 400")
         assert telemetry.counters["admin.bad_request"] >= 3 and telemetry.counters["admin.evicted"] >= 2
-        for _, writer in held:
+        for _, writer in open_connections:
             writer.close()
         listener.close()
 
