--- a/kestreltrack/explain/columns.py
+++ b/kestreltrack/explain/columns.py
@@ -1,7 +1,7 @@
-"""A capture as tables: one row for each event and action, one for each message; as parquet files, and SQL over them.
+"""Converts captures to tables, which are stored as parquet files or queried with SQL.
 
-polars writes parquet and runs the SQL.  duckdb does both as well, but polars builds its frames from Python lists
-directly, where duckdb needs another library.
+The table `events` has one row per event and action, `messages` one row per message.  polars writes parquet and runs
+SQL; so does duckdb, but it needs another library to build tables from Python lists.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 )
 from kestreltrack.snapshot.stored_forms import ACTION_NAMES, EVENT_NAMES
 
-# The names of the columns are part of the format of the parquet files, and of queries that operators keep.
+# The column names are part of the parquet format, and saved queries of operators use them.
 EVENT_SCHEMA: dict[str, Any] = {
     "wall": pl.Datetime("us", "UTC"),
     "sender": pl.String,
@@ -57,12 +57,15 @@
 
 
 class QueryError(CaptureError):
-    """The query or the files are not usable; the text says why."""
+    """The query is invalid or the files cannot be read; the message gives the reason."""
 
 
 @dataclass(slots=True)
 class _Row:
-    """The columns of a row that depend on the event or action, in the order of `EVENT_SCHEMA`."""
+    """The columns of a row that depend on the event or action, in the order of `EVENT_SCHEMA`.
+
+    They follow the columns that each row has: time, sender, clock reading and number of the record.
+    """
 
     what: str
     id: str | None = None
@@ -87,11 +90,11 @@
     def __init__(self, capture: CaptureFiles) -> None:
         self.rows = list[tuple[Any, ...]]()
         self._capture = capture
-        self._player = Replayer(Policy, self._on_restored)
+        self._replayer = Replayer(Policy, self._on_restored)
         self._dest = dict[str, int]()
-        """The destination of each message."""
+        """The destination number by message id; -1 if the destination is no longer known."""
         self._attempts = dict[str, int]()
-        """The number of attempts of each message so far."""
+        """The number of attempts so far, by message id."""
         self._sender = ""
 
     def _on_restored(self, policy: Policy) -> None:
@@ -100,7 +103,7 @@
         self._attempts = {m.id: m.attempts for m in policy.messages.values()}
 
     def handle_step(self, step: Step) -> None:
-        """Add the rows of one record; raises `QueryError` where the replay differs."""
+        """Add the rows of one record; raises `QueryError` if the replay diverges from the capture."""
         record = step.record
         if record.kind == records.FILE_HEADER:
             self._sender = record.payload.sender
@@ -108,12 +111,12 @@
             self._add_event(step, record.payload)
         elif record.kind == records.MARK:
             self._add_row(step, _Row("Mark", text=record.mark_text()))
-        if self._player.apply_step(step) is not None:
+        if self._replayer.apply_step(step) is not None:
             raise QueryError(
-                f"{step.file}: record {step.record_number}: the present module does not do as captured"
+                f"{step.file}: record {step.record_number}: the present decision module diverges from the capture"
             )
         if record.kind == records.DECISION:
-            for action in self._player.last_actions:
+            for action in self._replayer.last_actions:
                 self._add_action(step, action)
 
     def _add_row(self, step: Step, row: _Row) -> None:
@@ -168,10 +171,10 @@
 
 
 def events_table(capture: CaptureFiles, on_step: Callable[[Step], None] | None = None) -> pl.DataFrame:
-    """Return all events and actions in order; the actions come from a replay, which must be identical.
+    """Return all events and actions in order; the actions are taken from a replay.
 
     Raises:
-        QueryError: The present decision module decides otherwise than captured.
+        QueryError: The decisions of the present decision module diverge from the capture.
     """
     builder = _EventTableBuilder(capture)
     for step in capture.steps():
@@ -184,15 +187,15 @@
 def merge_events(
     captures: Sequence[CaptureFiles], on_step: Callable[[Step], None] | None = None
 ) -> pl.DataFrame:
-    """Return the events of several senders by the time of day that each recorded; equal times keep their order."""
+    """Return the events of several senders, sorted by the wall-clock time of each; the sort is stable."""
     return pl.concat([events_table(capture, on_step) for capture in captures]).sort(
         "wall", maintain_order=True
     )
 
 
 def messages_table(rows: pl.DataFrame) -> pl.DataFrame:
-    """Return one row for each message of a sender: when it arrived, how it ended, how many attempts it took."""
-    of_messages = rows.filter(pl.col("id").is_not_null())
+    """Return one row per message and sender, with its arrival, its end and its number of attempts."""
+    message_rows = rows.filter(pl.col("id").is_not_null())
     end = (
         pl.when((pl.col("what") == "Ended") & (pl.col("outcome") == "ok"))
         .then(pl.lit("delivered"))
@@ -204,7 +207,7 @@
         .then(pl.lit("withdrawn"))
     )
     return (
-        of_messages.with_columns(end=end)
+        message_rows.with_columns(end=end)
         .group_by("sender", "id", maintain_order=True)
         .agg(
             pl.col("dest").drop_nulls().first(),
@@ -221,10 +224,10 @@
 def load_tables(
     paths: Sequence[Path], on_step: Callable[[Step], None] | None = None
 ) -> dict[str, pl.DataFrame]:
-    """Return the tables by name, from a folder of their parquet files or else from captures, one of each sender.
+    """Return the tables by name, from a folder of their parquet files or else from captures, one per sender.
 
     Raises:
-        QueryError: The files are no parquet files, or there is no capture.
+        QueryError: A parquet file cannot be read, or there is no capture file at the paths.
         CaptureError: A file is not a capture.
     """
     from kestreltrack.capture.reader import capture_files
@@ -237,16 +240,16 @@
     files_of_sender = dict[Path, list[Path]]()
     for path in paths:
         for file in capture_files([path]):
-            # A folder holds the files of one sender; a file that is named stands for a sender of its own.
+            # The files in a folder belong to one sender; each file that is given by itself to a separate one.
             files_of_sender.setdefault(file.parent if path.is_dir() else file, []).append(file)
     if not files_of_sender:
-        raise QueryError(f"{', '.join(map(str, paths))}: no capture there")
+        raise QueryError(f"{', '.join(map(str, paths))}: no capture file found")
     rows = merge_events([CaptureFiles(files) for files in files_of_sender.values()], on_step)
     return {"events": rows, "messages": messages_table(rows)}
 
 
 def store_tables(tables: dict[str, pl.DataFrame], folder: Path) -> list[Path]:
-    """Write each table as a parquet file; return the files."""
+    """Write each table as a parquet file and return the paths."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, frame in tables.items():
         frame.write_parquet(folder / f"{name}.parquet")
@@ -254,16 +257,16 @@
 
 
 def query(tables: dict[str, pl.DataFrame], sql: str) -> pl.DataFrame:
-    """Return the result of an SQL query over `events` and `messages`.
+    """Return the result of an SQL query on the tables.
 
     Raises:
-        QueryError: The query is not valid, or its result is not a table.
+        QueryError: The query is invalid, or its result is not a table.
     """
     try:
         with pl.SQLContext(frames=tables, eager=True) as context:
-            found = context.execute(sql)
+            result = context.execute(sql)
     except pl.exceptions.PolarsError as error:
         raise QueryError(str(error).splitlines()[0]) from None
-    if not isinstance(found, pl.DataFrame):
-        raise QueryError("the query gives no table")
-    return found
+    if not isinstance(result, pl.DataFrame):
+        raise QueryError("the result of the query is not a table")
+    return result
--- a/kestreltrack/explain/destination_timeline.py
+++ b/kestreltrack/explain/destination_timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of one destination in a capture: changes of its health, and what its messages waited for.
+"""The timeline of one destination in a capture: changes of its health, and which rules blocked its messages.
 
 All clock readings and durations are milliseconds.
 """
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class StateChange:
-    """One change at a destination; `endpoint` is empty where it concerns all of it."""
+    """A change of a destination, or of one endpoint; `endpoint` is empty for the whole destination."""
 
     clock: float
     endpoint: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class DestinationTimeline:
-    """The figures and changes of one destination over a part of a capture."""
+    """The figures and state changes of one destination over a part of a capture."""
 
     dest: int
     changes: list[StateChange] = field(default_factory=list)
@@ -55,7 +55,7 @@
     outcomes: Counter[str] = field(default_factory=Counter)
     ends: Counter[str] = field(default_factory=Counter)
     waited_ms: Counter[str] = field(default_factory=Counter)
-    """Milliseconds that messages were blocked, summed over the messages, by rule."""
+    """The time for which messages were blocked, by rule, summed over the messages."""
     max_queued: int = 0
     max_in_flight: int = 0
     span: tuple[float, float] = (0.0, 0.0)
@@ -69,7 +69,7 @@
     until: float | None = None,
     on_step: Callable[[Step], None] | None = None,
 ) -> DestinationTimeline:
-    """Replay with a decision module that traces one destination; begin at the last checkpoint before `since`."""
+    """Return the timeline of one destination, from a replay that starts at the last checkpoint before `since`."""
     builder = _TimelineBuilder(dest, since)
     start = capture.checkpoint_at(since) if since is not None else None
     for step in capture.steps(start, until):
@@ -86,11 +86,11 @@
     def __init__(self, dest: int, since: float | None) -> None:
         self.timeline = DestinationTimeline(dest)
         self._since = since
-        self._player = Replayer(TracingPolicy, self._start_tracing)
+        self._replayer = Replayer(TracingPolicy, self._start_tracing)
         self._blocked: dict[str, tuple[str, float]] = {}
-        """For each blocked message the rule, and since when it is counted."""
+        """By message id: the blocking rule, and the start of the time that is not yet counted."""
         self._ids = set[str]()
-        """The messages of the destination."""
+        """The ids of the messages for this destination."""
         self._clock = 0.0
         self._first_clock = since
 
@@ -101,7 +101,7 @@
         self._ids |= {id_ for (id_, _), (c, _) in policy.calls.items() if c.endpoint.destination is dest}
 
     def handle_step(self, step: Step) -> bool:
-        """Handle one record; return whether the replay agrees with the capture so far."""
+        """Handle one record; return whether the replay has not diverged from the capture."""
         record = step.record
         self._clock = record.clock or self._clock
         if self._first_clock is None and record.clock:
@@ -109,12 +109,12 @@
         if step.after_gap:
             self._blocked.clear()
             if step.record_number:
-                self._add_change(self._clock, "", "gap", "the capture begins anew here")
+                self._add_change(self._clock, "", "gap", "records are missing before this point")
         if record.kind == records.EVENT:
             self._handle_event(record.clock, record.payload)
         elif record.kind == records.MARK:
             self._add_change(record.clock, "", "beside", record.mark_text())
-        divergence = self._player.apply_step(step)
+        divergence = self._replayer.apply_step(step)
         if divergence is not None:
             expected, actual = divergence
             self.timeline.divergence = f"at {self._clock:.0f} ms: expected {expected}, got {actual}"
@@ -124,8 +124,8 @@
         return True
 
     def _sample(self) -> None:
-        """Take the largest queue and the most calls in flight after a decision."""
-        policy = self._player.policy
+        """Update the maxima of queued messages and calls in flight after a decision."""
+        policy = self._replayer.policy
         if policy is not None and self._is_in_range(self._clock):
             state = policy.destinations.get(self.timeline.dest)
             if state is not None:
@@ -189,7 +189,7 @@
             self._stop_waiting(now, event.id)
             self._count_end(now, f"{'refused' if event.safe_to_retry else 'failed'}: {event.reason}")
         elif isinstance(event, AttemptCancelled):
-            detail = f"{event.id}: silent for {event.overdue_factor:.1f} times what counts as overdue"
+            detail = f"{event.id}: no answer for {event.overdue_factor:.1f} times the overdue time"
             self._add_change(now, "", "called off", detail)
         elif isinstance(event, HealthChanged):
             self._add_change(now, event.endpoint, event.state, event.detail)
@@ -202,24 +202,24 @@
                 self.timeline.trials += 1
 
     def _count_end(self, now: float, end: str) -> None:
-        # An end before the range is listed, with a count of zero.
+        # An end that occurs only before the range is listed with a count of zero.
         self.timeline.ends[end] += 1 if self._is_in_range(now) else 0
 
     def _stop_waiting(self, now: float, id_: str) -> None:
-        """Count the time that a message was blocked up to now."""
+        """Add the time for which a message has been blocked until now."""
         rule, since = self._blocked.pop(id_, ("", now))
         if rule and self._is_in_range(now):
-            # A Counter is typed for integers, but sums floats as well.
+            # The type stubs allow only int counts; at run time floats work as well.
             self.timeline.waited_ms[rule] += now - since  # type: ignore[assignment]
 
     def close(self) -> DestinationTimeline:
-        """Return the timeline, which ends with the last record."""
+        """Return the timeline; its span ends at the last record."""
         self.timeline.span = (self._first_clock or 0.0, self._clock)
         return self.timeline
 
 
 def to_json(capture: CaptureFiles, timeline: DestinationTimeline) -> dict[str, Any]:
-    """Return a timeline as a JSON document, with times in ms since the start of the capture."""
+    """Return the timeline as a JSON document, with times in ms since the start of the capture."""
     origin = capture.clock_origin()[0]
     return {
         "dest": timeline.dest,
--- a/kestreltrack/explain/message_timeline.py
+++ b/kestreltrack/explain/message_timeline.py
@@ -1,9 +1,9 @@
-"""The timeline of one message in a capture: when it was blocked and why, each attempt, its final answer.
+"""The timeline of one message in a capture: when and why it was blocked, its attempts and its final answer.
 
-The block that names the message first is found by the id in the raw bytes of the blocks: each is decompressed but no
-record is decoded, which for an hour of full load takes well under a second (`docs/capture.md` has the figures).  A
-replay begins at the last checkpoint before it, with a decision module that traces this one message.  All clock
-readings and durations are milliseconds.
+The first block that contains the message is found by a search for the id in the decompressed bytes of each block.  No
+record is decoded for this, so that the search takes well under a second for an hour of full load (see
+`docs/capture.md`).  The replay starts at the last checkpoint before that block, and traces this message only.  All
+clock readings and durations are in milliseconds.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class TimelineRow:
-    """One row of a timeline; `until` is the end of what lasted."""
+    """One row of a timeline; `until` is the end of a row that covers a period."""
 
     clock: float
     what: str
@@ -65,29 +65,29 @@
     queued_before: bool = False
     rows: list[TimelineRow] = field(default_factory=list)
     waited_ms: Counter[str] = field(default_factory=Counter)
-    """Milliseconds that it was blocked, by rule."""
+    """The time for which the message was blocked, by rule."""
     attempts: int = 0
     end: str = ""
     ended: float | None = None
     divergence: str = ""
-    """Where the present decision module differs from the capture; the timeline ends there."""
+    """Why the timeline stops early: the replay diverged from the capture, or the capture has a gap."""
 
 
-def blocks_naming(capture: CaptureFiles, id_: str) -> list[BlockPosition]:
-    """Return the blocks that name a message."""
-    needle = encode_msgpack(id_)
+def blocks_containing(capture: CaptureFiles, id_: str) -> list[BlockPosition]:
+    """Return the blocks that contain the id of a message."""
+    encoded_id = encode_msgpack(id_)
     return [
         BlockPosition(file, block)
         for file, reader in enumerate(capture.readers)
         for block, _, raw in reader.raw_blocks()
-        if needle in raw
+        if encoded_id in raw
     ]
 
 
 def build_timelines(capture: CaptureFiles, id_: str) -> list[MessageTimeline]:
-    """Return one timeline for each time that a message of this id was accepted: clients may use an id again."""
+    """Return one timeline per arrival of a message with this id, as clients may reuse ids."""
     timelines = list[MessageTimeline]()
-    positions = blocks_naming(capture, id_)
+    positions = blocks_containing(capture, id_)
     while positions:
         builder = TimelineBuilder(id_)
         last = positions[0]
@@ -97,7 +97,7 @@
                 break
         builder.close()
         timelines += builder.timelines
-        # A block behind the end of this timeline names a further message of the same id.
+        # Blocks after the end of this timeline that contain the id belong to a later message with the same id.
         positions = [
             position for position in positions if (position.file, position.block) > (last.file, last.block)
         ]
@@ -108,15 +108,15 @@
     """Builds the timelines of one message during a replay."""
 
     def __init__(self, id_: str) -> None:
-        """Start before the first record."""
+        """Create a builder for the message `id_`; it has seen no record yet."""
         self.id = id_
         self.timelines = list[MessageTimeline]()
         self._timeline: MessageTimeline | None = None
         self._attempts_in_flight: dict[int, tuple[float, str]] = {}
-        """For each attempt its start and its endpoint."""
+        """The start and the endpoint of each attempt in flight, by attempt number."""
         self._blocked_row: TimelineRow | None = None
         self._blocking_rule = ""
-        self._player = Replayer(TracingPolicy, self._start_tracing)
+        self._replayer = Replayer(TracingPolicy, self._start_tracing)
         self._clock = 0.0
 
     def _start_tracing(self, policy: TracingPolicy) -> None:
@@ -137,8 +137,8 @@
                     queued_before=True,
                 )
             )
-            for (out, attempt), (call, _) in policy.calls.items():
-                if out == self.id:
+            for (message_id, attempt), (call, _) in policy.calls.items():
+                if message_id == self.id:
                     self._attempts_in_flight[attempt] = (call.started_at, call.endpoint.name)
 
     def _begin(self, timeline: MessageTimeline) -> None:
@@ -149,27 +149,27 @@
         timeline.rows.append(TimelineRow(now, what, text))
 
     def handle_step(self, step: Step) -> bool:
-        """Handle one record; return whether the timeline has come to its end."""
+        """Handle one record; return whether the timeline is complete."""
         record = step.record
         self._clock = record.clock or self._clock
         if step.after_gap and self._timeline is not None:
             self._timeline.divergence = self._timeline.divergence or "the capture has a gap here"
             return True
         self._handle_record(record)
-        divergence = self._player.apply_step(step)
+        divergence = self._replayer.apply_step(step)
         timeline = self._timeline
         if timeline is None:
             return False
         if divergence is not None:
             expected, actual = divergence
             timeline.divergence = (
-                f"the present module parts from the capture: expected {expected}, got {actual}"
+                f"the present decision module diverges from the capture: expected {expected}, got {actual}"
             )
             return True
         return bool(timeline.end) and not self._attempts_in_flight and record.kind == records.DECISION
 
     def _handle_record(self, record: Record) -> None:
-        """Handle what a record says by itself, before the replay applies it."""
+        """Add the rows that follow from the record alone, before the replay applies it."""
         if record.kind == records.EVENT:
             self._handle_event(record.clock, record.payload)
         elif self._timeline is None:
@@ -180,7 +180,7 @@
             dest, endpoint = record.context
             endpoints = {name for _, name in self._attempts_in_flight.values()}
             if dest == self._timeline.dest and endpoint in endpoints:
-                text = f"{endpoint}: not sent any more, a retry-after or a drain came meanwhile"
+                text = f"{endpoint}: not sent, because a retry-after or a drain arrived after the decision"
                 self._add_row(self._timeline, record.clock, "held back", text)
 
     # Events ------------------------------------------------------------------------------------------
@@ -202,10 +202,10 @@
         elif isinstance(event, EndpointsUpdated):
             self._handle_endpoints(timeline, now, event)
         else:
-            self._handle_surroundings(timeline, now, event)
+            self._handle_external_event(timeline, now, event)
 
     def _handle_arrival(self, now: float, event: MessageArrived) -> None:
-        policy = self._player.policy
+        policy = self._replayer.policy
         if policy is None:
             return
         class_settings = policy.settings.classes[event.cls]
@@ -232,17 +232,17 @@
             if entry.dest == timeline.dest:
                 self._add_row(timeline, now, "list", f"{entry.endpoint} is {entry.lifecycle.value}")
 
-    def _handle_surroundings(self, timeline: MessageTimeline, now: float, event: Event) -> None:
-        """Add what the sender learned of the message's destination from others, and its shutdown."""
+    def _handle_external_event(self, timeline: MessageTimeline, now: float, event: Event) -> None:
+        """Add what other senders report about the message's destination, and a shutdown of this sender."""
         if isinstance(event, RetryAfterReceived) and event.dest == timeline.dest:
-            text = f"another caller received a retry-after of {event.until - now:.0f} ms"
+            text = f"another process or sender received a retry-after of {event.until - now:.0f} ms"
         elif isinstance(event, QuotaLeased) and event.dest == timeline.dest:
-            text = f"the fleet leases {event.share:.0%} of what its destination bears"
+            text = f"this sender holds a lease for {event.share:.0%} of the destination's cold budget"
         elif isinstance(event, HealthReported) and event.dest == timeline.dest:
-            health = f"up for {now - event.since:.0f} ms" if event.up else "out"
-            text = f"the fleet reports its destination as {health}"
+            health = f"up for {now - event.since:.0f} ms" if event.up else "down"
+            text = f"the fleet reports the destination as {health}"
         elif isinstance(event, ShutdownStarted):
-            text = f"the sender shuts down, in {event.deadline - now:.0f} ms at the latest"
+            text = f"the sender shuts down within {event.deadline - now:.0f} ms"
         else:
             return
         self._add_row(timeline, now, "beside", text)
@@ -253,14 +253,14 @@
         if event.retry_after_ms:
             details.append(f"retry after {event.retry_after_ms:.0f} ms")
         if event.stale_connection:
-            details.append("the connection was reused and may have been closed before")
+            details.append("the reused connection may have been closed before the request")
         if event.quota_left is not None:
             details.append(f"{event.quota_left:.0%} of the limit left")
         if event.outcome.may_have_executed() and event.outcome is not Outcome.OK:
             details.append("may have been executed")
         timeline.rows.append(TimelineRow(sent_at, f"attempt {event.attempt}", ", ".join(details), now))
         if event.final and not timeline.end:
-            timeline.end = "delivered" if event.outcome is Outcome.OK else f"over with {event.outcome.value}"
+            timeline.end = "delivered" if event.outcome is Outcome.OK else f"ended as {event.outcome.value}"
             timeline.ended = now
 
     # Traces ------------------------------------------------------------------------------------------
@@ -276,11 +276,11 @@
         if isinstance(event, AttemptChosen):
             self._handle_attempt(timeline, now, event)
         elif isinstance(event, AttemptCancelled):
-            full = ", all slots taken" if event.slots_exhausted else ""
-            text = f"silent for {event.overdue_factor:.1f} times what counts as overdue{full}"
+            slots = ", all slots in use" if event.slots_exhausted else ""
+            text = f"no answer for {event.overdue_factor:.1f} times the overdue time{slots}"
             self._add_row(timeline, now, "called off", text)
         elif isinstance(event, MessageGivenUp):
-            end = "refused: trying again is harmless" if event.safe_to_retry else "failed, with no promise"
+            end = "refused: safe to retry" if event.safe_to_retry else "failed: not safe to retry"
             timeline.end = f"{end} ({event.reason})"
             timeline.ended = now
 
@@ -296,7 +296,7 @@
         self._add_row(timeline, now, f"sent {event.attempt}", text)
 
     def _handle_blocked(self, timeline: MessageTimeline, now: float, event: MessageBlocked) -> None:
-        """Extend the last row where the same rule still blocks, or else begin another."""
+        """Extend the current row if the same rule still blocks the message, else start a new one."""
         if self._blocked_row is not None and self._blocking_rule == event.rule:
             self._extend_blocked_row(timeline, self._blocked_row, now)
             return
@@ -306,7 +306,7 @@
         timeline.rows.append(self._blocked_row)
 
     def _extend_blocked_row(self, timeline: MessageTimeline, row: TimelineRow, now: float) -> None:
-        # A Counter is typed for integers, but sums floats as well.
+        # The type stubs allow only int counts; at run time floats work as well.
         timeline.waited_ms[self._blocking_rule] += now - (row.until or now)  # type: ignore[assignment]
         row.until = now
 
@@ -316,7 +316,7 @@
         self._blocked_row = None
 
     def close(self) -> None:
-        """End the timeline with the last record: attempts that are in flight stay so."""
+        """Complete the timeline at the last record, with a row for each attempt still in flight."""
         self._close_blocked_row(self._clock)
         if self._timeline is None:
             return
@@ -326,7 +326,7 @@
 
 
 def to_json(capture: CaptureFiles, timeline: MessageTimeline) -> dict[str, Any]:
-    """Return a timeline as a JSON document, with times in ms since the arrival."""
+    """Return the timeline as a JSON document, with times in ms since the arrival."""
     arrived = timeline.arrived
     return {
         "id": timeline.id,
--- a/kestreltrack/explain/report.py
+++ b/kestreltrack/explain/report.py
@@ -1,6 +1,6 @@
-"""The figures of a report: what each destination of a capture went through, in bins of equal length.
+"""The figures of a report: time series for each destination of a capture, in bins of equal length.
 
-They come from a replay with a decision module that traces its decisions (`explain/tracing.py`).
+They are collected during a replay with a decision module that emits trace events (`explain/tracing.py`).
 """
 
 from __future__ import annotations
@@ -29,40 +29,40 @@
 FloatArray = NDArray[np.float64]
 IntArray = NDArray[np.int_]
 
-# About four pixels a bin in the pictures.
+# About four pixels per bin in the charts.
 BINS = 240
-# From the best to the worst; a series holds the index.
+# From best to worst: series contain the index.
 HEALTH_STATES = ("well", "slow start", "told wait", "draining", "open")
-# A message without a delivery weighs as much as so many outcomes that were not ok.
+# Weight of an undelivered message in the severity of a destination; a failed attempt has the weight 1.
 UNDELIVERED_SEVERITY = 5.0
 SERIES_NAMES = ("arrived", "sent", "delivered", "not ok", "refused", "failed")
 
 
 @dataclass(slots=True)
 class DestinationSeries:
-    """The figures of one destination, one value a bin."""
+    """The time series of one destination, with one value per bin."""
 
     number: int
     queued: FloatArray
-    """The most queued messages."""
+    """The maximum of queued messages."""
     in_flight: FloatArray
-    """The most calls in flight."""
+    """The maximum of calls in flight."""
     send_rate: FloatArray
-    """The send rate in calls per second; NaN where it is not known."""
+    """The send rate in even shares of the limit, as `rate_and_tokens` returns it; NaN if unknown."""
     health_state: IntArray
-    """The index of the worst state in `HEALTH_STATES`."""
+    """The worst state, as an index into `HEALTH_STATES`."""
     counts: dict[str, FloatArray]
-    """By the names of `SERIES_NAMES`."""
+    """By name, as in `SERIES_NAMES`."""
     latencies_ms: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
-    """The durations of the attempts that were ok, by bin."""
+    """The durations of successful attempts, by bin."""
     end_counts: Counter[str] = field(default_factory=Counter)
     reason_counts: Counter[str] = field(default_factory=Counter)
     current_state: int = 0
     endpoint_states: dict[str, int] = field(default_factory=dict)
-    """By endpoint; the state of the whole destination has the empty name."""
+    """By endpoint name; the empty name stands for the whole destination."""
 
     def latency_quantile(self, quantile: float) -> FloatArray:
-        """Return a quantile in ms for each bin, NaN where no attempt ended."""
+        """Return a quantile of the latency in ms for each bin, NaN for a bin without a successful attempt."""
         return np.array(
             [
                 np.quantile(self.latencies_ms[n], quantile) if n in self.latencies_ms else np.nan
@@ -71,7 +71,7 @@
         )
 
     def severity(self) -> float:
-        """Return a rank by undelivered messages, by outcomes that were not ok, and by bins that were not well."""
+        """Return a score from undelivered messages, failed attempts and bins in another state than well."""
         undelivered = sum(count for end, count in self.end_counts.items() if end != "delivered")
         not_ok = float(self.counts["not ok"].sum())
         bins_not_well = float((self.health_state > 0).sum())
@@ -79,7 +79,7 @@
 
 
 def new_series(number: int) -> DestinationSeries:
-    """Return the series of a destination before the first record."""
+    """Return an empty series for a destination."""
     return DestinationSeries(
         number,
         queued=np.zeros(BINS),
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class ReportData:
-    """All figures of a report."""
+    """All data of a report."""
 
     sender: str = ""
     start_time: datetime | None = None
@@ -108,33 +108,33 @@
         return (self.clock_span[1] - self.clock_span[0]) / 1000.0
 
     def bin_times_s(self) -> FloatArray:
-        """Return the middle of each bin, in seconds from the start."""
+        """Return the midpoint of each bin, in seconds since the start."""
         width_s = (self.clock_span[1] - self.clock_span[0]) / BINS / 1000.0
         return (np.arange(BINS, dtype=np.float64) + 0.5) * width_s
 
     def bin_width_s(self) -> float:
-        """Return the length of a bin in seconds, as a divisor that is never zero."""
+        """Return the length of a bin in seconds; never zero, so that it can be a divisor."""
         return max(1e-9, (self.clock_span[1] - self.clock_span[0]) / BINS / 1000.0)
 
     def total_rate_per_s(self, series: str) -> FloatArray:
-        """Return one series over all destinations, per second."""
+        """Return the sum of one series over all destinations, per second."""
         return (
-            sum((line.counts[series] for line in self.destinations.values()), np.zeros(BINS))
+            sum((each.counts[series] for each in self.destinations.values()), np.zeros(BINS))
             / self.bin_width_s()
         )
 
 
 class _Collector:
-    """Collects the figures during a replay."""
+    """Collects the data of a report during a replay."""
 
     def __init__(self, span: tuple[float, float]) -> None:
         self.data = ReportData(clock_span=span)
         self._bin_width_ms = max(1e-6, (span[1] - span[0]) / BINS)
-        self._player = Replayer(TracingPolicy, self._start_tracing)
+        self._replayer = Replayer(TracingPolicy, self._start_tracing)
         self._dest = dict[str, int]()
-        """The destination of each message."""
+        """The destination number by message id."""
         self._bin = 0
-        """The bin of the present record."""
+        """The bin of the current record."""
 
     def _start_tracing(self, policy: TracingPolicy) -> None:
         policy.start_tracing(TraceFilter(self._handle_trace, everything=True, include_blocked=False))
@@ -146,7 +146,7 @@
         }
 
     def destination(self, number: int) -> DestinationSeries:
-        """Return the series of a destination, a new one where it had none."""
+        """Return the series of a destination, creating it if needed."""
         series = self.data.destinations.get(number)
         if series is None:
             series = new_series(number)
@@ -154,7 +154,7 @@
         return series
 
     def handle_step(self, step: Step) -> bool:
-        """Handle one record; return whether the replay agrees with the capture so far."""
+        """Handle one record; return whether the replay has not diverged from the capture."""
         record = step.record
         if record.clock:
             offset_ms = record.clock - self.data.clock_span[0]
@@ -165,7 +165,7 @@
             self.data.marks.append((record.clock, record.mark_text()))
         elif record.kind == records.EVENT:
             self._handle_event(record.payload)
-        divergence = self._player.apply_step(step)
+        divergence = self._replayer.apply_step(step)
         if divergence is not None:
             expected, actual = divergence
             self.data.divergence = f"record {step.record_number}: expected {expected}, got {actual}"
@@ -175,14 +175,14 @@
         return True
 
     def _advance_to_bin(self, bin_number: int) -> None:
-        """Go on to another bin; states last until they change."""
+        """Advance to a later bin; the bins up to it take the current health states."""
         while self._bin < bin_number:
             self._bin += 1
             for series in self.data.destinations.values():
-                self._note_state(series)
+                self._record_state(series)
 
-    def _note_state(self, series: DestinationSeries) -> None:
-        """Keep the worst state of the bin."""
+    def _record_state(self, series: DestinationSeries) -> None:
+        """Update the worst state of the current bin."""
         series.health_state[self._bin] = max(series.health_state[self._bin], series.current_state)
 
     def _handle_event(self, event: Event) -> None:
@@ -217,28 +217,28 @@
             self._handle_health(event)
 
     def _handle_health(self, event: HealthChanged) -> None:
-        line = self.destination(event.dest)
+        series = self.destination(event.dest)
         state = "draining" if event.state == "off the list" else event.state
-        line.endpoint_states[event.endpoint] = HEALTH_STATES.index(state)
-        policy = self._player.policy
+        series.endpoint_states[event.endpoint] = HEALTH_STATES.index(state)
+        policy = self._replayer.policy
         names = (
             policy.destinations[event.dest].endpoints if policy and event.dest in policy.destinations else ()
         )
-        # One endpoint that is well serves them all; the worst within a bin stays.
-        best = min((line.endpoint_states.get(name, 0) for name in names), default=0)
-        line.current_state = line.endpoint_states.get("", 0) or best
-        self._note_state(line)
+        # A destination is as healthy as its best endpoint, because any endpoint can serve its messages.
+        best = min((series.endpoint_states.get(name, 0) for name in names), default=0)
+        series.current_state = series.endpoint_states.get("", 0) or best
+        self._record_state(series)
 
     def _sample(self) -> None:
-        policy = self._player.policy
+        policy = self._replayer.policy
         if policy is None:
             return
         for number, dest in policy.active_destinations.items():
-            line = self.destination(number)
-            line.queued[self._bin] = max(line.queued[self._bin], len(dest.queued))
-            line.in_flight[self._bin] = max(line.in_flight[self._bin], dest.in_flight)
+            series = self.destination(number)
+            series.queued[self._bin] = max(series.queued[self._bin], len(dest.queued))
+            series.in_flight[self._bin] = max(series.in_flight[self._bin], dest.in_flight)
             if dest.limits is not None:
-                line.send_rate[self._bin] = rate_limit.rate_and_tokens(dest.limits, policy.now)[0]
+                series.send_rate[self._bin] = rate_limit.rate_and_tokens(dest.limits, policy.now)[0]
 
 
 def collect(
@@ -247,10 +247,10 @@
     until: str | None = None,
     on_step: Callable[[Step], None] | None = None,
 ) -> ReportData:
-    """Replay a capture and return its figures; `since` and `until` are times as `parse_time` reads them.
+    """Replay a capture and return its figures; `since` and `until` are in the formats of `parse_time`.
 
     Raises:
-        InvalidTimeError: A time has no known form.
+        InvalidTimeError: A time has no known format.
     """
     first, last = capture.clock_span()
     span = (capture.parse_time(since) if since else first, capture.parse_time(until) if until else last)
--- a/kestreltrack/explain/report_charts.py
+++ b/kestreltrack/explain/report_charts.py
@@ -1,4 +1,4 @@
-"""The pictures of a report, drawn with matplotlib."""
+"""The charts of a report, drawn with matplotlib."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from kestreltrack.explain.report import BINS, HEALTH_STATES, SERIES_NAMES, DestinationSeries, ReportData
 
-# Draw without a display; this must come before pyplot is imported.
+# Render without a display; must be set before pyplot is imported.
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt
 from matplotlib.colors import ListedColormap
@@ -28,14 +28,14 @@
 RED = "#c8372d"
 GREEN = "#3a8f4d"
 GREY = "#888888"
-# The heights of the panels of one destination: queue, latency, rates, health.
+# The panels of a destination: slots and queue, latency, rates, health.
 PANEL_HEIGHT_RATIOS = [2, 2, 2, 0.5]
-# Enough that a picture is sharp in the page at its full width.
+# Sharp at the full width of the page.
 DOTS_PER_INCH = 110
 
 
 def draw_overview(data: ReportData) -> bytes:
-    """Return a PNG of the rates, slots and queued messages of the whole sender."""
+    """Return a PNG of the rates, calls in flight and queued messages of the sender."""
     figure, axes = plt.subplots(3, 1, figsize=(11, 7.5), sharex=True)
     times_s = data.bin_times_s()
     for name, colour in zip(SERIES_NAMES, SERIES_COLOURS, strict=True):
@@ -46,9 +46,9 @@
     queued = sum((series.queued for series in data.destinations.values()), np.zeros(BINS))
     axes[1].fill_between(times_s, in_flight, step="mid", color=BLUE, alpha=0.6)
     axes[1].axhline(data.concurrency_limit, color=RED, linewidth=0.8)
-    axes[1].set_ylabel("calls in flight\n(peaks, summed)")
+    axes[1].set_ylabel("calls in flight\n(sum of maxima)")
     axes[2].fill_between(times_s, queued, step="mid", color=ORANGE, alpha=0.6)
-    axes[2].set_ylabel("queued\n(peaks, summed)")
+    axes[2].set_ylabel("queued\n(sum of maxima)")
     axes[2].set_xlabel("seconds")
     for axis in axes:
         _draw_marks(axis, data)
@@ -57,17 +57,17 @@
 
 
 def draw_heatmaps(data: ReportData, destinations: list[DestinationSeries]) -> bytes:
-    """Return a PNG of the health, queued messages and latency of many destinations, one row each."""
+    """Return a PNG of the health, queued messages and latency of many destinations, one row per destination."""
     figure, axes = plt.subplots(
         1, 3, figsize=(15, 1.6 + 0.19 * len(destinations)), sharey=True, layout="constrained"
     )
     extent = (0.0, data.span_s(), len(destinations) - 0.5, -0.5)
     _draw_health(figure, axes[0], destinations, extent)
     panels = (
-        (axes[1], "queued, at most", [series.queued for series in destinations], "Oranges"),
+        (axes[1], "queued (maximum)", [series.queued for series in destinations], "Oranges"),
         (
             axes[2],
-            "latency, median in ms",
+            "latency (median, ms)",
             [series.latency_quantile(0.5) for series in destinations],
             "Blues",
         ),
@@ -103,11 +103,11 @@
     )
     bar = figure.colorbar(image, ax=axis, ticks=range(len(HEALTH_STATES)))
     bar.ax.set_yticklabels(HEALTH_STATES)
-    axis.set_title("health (worst in its bin)")
+    axis.set_title("health (worst per bin)")
 
 
 def draw_destination(data: ReportData, destination: DestinationSeries) -> bytes:
-    """Return a PNG of everything about one destination."""
+    """Return a PNG with all series of one destination."""
     figure, axes = plt.subplots(
         4, 1, figsize=(11, 7), sharex=True, height_ratios=PANEL_HEIGHT_RATIOS, layout="constrained"
     )
@@ -125,12 +125,12 @@
 
 def _draw_slots(axis: Axes, data: ReportData, destination: DestinationSeries) -> None:
     times_s = data.bin_times_s()
-    axis.step(times_s, destination.in_flight, where="mid", color=BLUE, label="slots, at most")
-    axis.step(times_s, destination.queued, where="mid", color=ORANGE, label="queued, at most")
+    axis.step(times_s, destination.in_flight, where="mid", color=BLUE, label="in flight (maximum)")
+    axis.step(times_s, destination.queued, where="mid", color=ORANGE, label="queued (maximum)")
 
 
 def _draw_latency(axis: Axes, data: ReportData, destination: DestinationSeries) -> None:
-    lines = ((0.5, DARK_BLUE, "latency, median ms"), (0.99, LIGHT_BLUE, "latency, 99th"))
+    lines = ((0.5, DARK_BLUE, "latency (median, ms)"), (0.99, LIGHT_BLUE, "latency (99th percentile, ms)"))
     for quantile, colour, label in lines:
         latencies_ms = destination.latency_quantile(quantile)
         axis.plot(data.bin_times_s(), latencies_ms, color=colour, label=label, marker=".", markersize=3)
@@ -144,7 +144,14 @@
     axis.step(times_s, counts["sent"] / width_s, where="mid", color=BLUE, label="sent per second")
     axis.step(times_s, counts["not ok"] / width_s, where="mid", color=ORANGE, label="not ok")
     axis.step(times_s, undelivered, where="mid", color=RED, label="refused or failed")
-    axis.plot(times_s, destination.send_rate, color=GREEN, linewidth=0.9, linestyle="--", label="send rate")
+    axis.plot(
+        times_s,
+        destination.send_rate,
+        color=GREEN,
+        linewidth=0.9,
+        linestyle="--",
+        label="send rate (even shares)",
+    )
 
 
 def _draw_health_strip(axis: Axes, data: ReportData, destination: DestinationSeries) -> None:
@@ -163,7 +170,7 @@
 
 
 def _draw_marks(axis: Axes, data: ReportData) -> None:
-    """Draw a line at each event outside the decision module."""
+    """Draw a vertical line at each mark: an event outside the decision module."""
     for clock, _ in data.marks:
         axis.axvline((clock - data.clock_span[0]) / 1000.0, color=GREY, linewidth=0.7, linestyle=":")
 
--- a/kestreltrack/explain/report_page.py
+++ b/kestreltrack/explain/report_page.py
@@ -1,4 +1,4 @@
-"""Writes a report: one page with its pictures in it, which needs nothing else."""
+"""Writes a report as a self-contained HTML page with embedded images."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 from kestreltrack.explain.report import BINS, DestinationSeries, ReportData
 from kestreltrack.explain.report_charts import draw_destination, draw_heatmaps, draw_overview
 
-# The destinations with the greatest severity: so many rows in the maps, and so many with a picture of their own.
+# The destinations of the greatest severity that have a row in the heatmaps, and that have a chart of their own.
 MAX_HEATMAP_ROWS = 40
 MAX_PANELS = 6
+# Also the keys of `report --json`.
 COLUMN_TITLES = [
     "destination",
     "arrived",
@@ -32,7 +33,7 @@
 
 
 def rank_destinations(data: ReportData) -> list[DestinationSeries]:
-    """Return the destinations, the greatest severity first, and among equals the busiest first."""
+    """Return the destinations by descending severity, then by descending number of attempts."""
     return sorted(
         data.destinations.values(),
         key=lambda series: (-series.severity(), -series.counts["sent"].sum(), series.number),
@@ -40,12 +41,14 @@
 
 
 def summary_rows(data: ReportData) -> list[list[str]]:
-    """Return the summary: one row a destination, with the cells of `COLUMN_TITLES`."""
+    """Return one row per destination, with the columns `COLUMN_TITLES`."""
     return [_summary_row(series) for series in rank_destinations(data)]
 
 
 def _summary_row(series: DestinationSeries) -> list[str]:
-    latencies_ms = [latency for part in series.latencies_ms.values() for latency in part]
+    latencies_ms = [
+        latency for bin_latencies_ms in series.latencies_ms.values() for latency in bin_latencies_ms
+    ]
     quantiles = ["", ""]
     if latencies_ms:
         quantiles = [f"{np.quantile(latencies_ms, quantile):.0f}" for quantile in (0.5, 0.99)]
@@ -72,9 +75,9 @@
 td:last-child, th:last-child {{ text-align: left; }}
 .fault {{ color: #c8372d; }}
 </style></head><body>
-<h1>{title}</h1><p>{facts}</p>{faults}
-<h2>The whole sender</h2>{overview}
-<h2>Destinations, most trouble first</h2>{maps}
+<h1>{title}</h1><p>{summary}</p>{faults}
+<h2>Sender</h2>{overview}
+<h2>Destinations, most severe first</h2>{heatmaps}
 {panels}
 <h2>All destinations</h2>
 <table><thead><tr>{heads}</tr></thead><tbody>{rows}</tbody></table>
@@ -83,55 +86,55 @@
 
 
 def write_report(data: ReportData, folder: Path) -> list[Path]:
-    """Write the page and its pictures into a folder; return the files, the page first.
+    """Write the page and its images to a folder and return the paths, the page first.
 
     Raises:
         OSError: A file cannot be written.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    pictures = _draw_pictures(data)
+    images = _draw_images(data)
     written = list[Path]()
-    for name, png in pictures.items():
+    for name, png in images.items():
         (folder / name).write_bytes(png)
         written.append(folder / name)
     page = folder / "report.html"
-    page.write_text(_render_page(data, pictures))
+    page.write_text(_render_page(data, images))
     return [page, *written]
 
 
-def _draw_pictures(data: ReportData) -> dict[str, bytes]:
-    """Return the pictures by the names of their files."""
+def _draw_images(data: ReportData) -> dict[str, bytes]:
+    """Return the images by file name."""
     ranked = rank_destinations(data)
-    pictures = {"overview.png": draw_overview(data)}
+    images = {"overview.png": draw_overview(data)}
     if ranked:
-        pictures["destinations.png"] = draw_heatmaps(data, ranked[:MAX_HEATMAP_ROWS])
+        images["destinations.png"] = draw_heatmaps(data, ranked[:MAX_HEATMAP_ROWS])
     for series in ranked[:MAX_PANELS]:
-        pictures[f"destination-{series.number}.png"] = draw_destination(data, series)
-    return pictures
+        images[f"destination-{series.number}.png"] = draw_destination(data, series)
+    return images
 
 
-def _render_page(data: ReportData, pictures: dict[str, bytes]) -> str:
+def _render_page(data: ReportData, images: dict[str, bytes]) -> str:
     faults = list(data.corruptions)
     if data.divergence:
-        faults.append(f"parted from the capture at {data.divergence}")
-    panels = [name for name in pictures if name.startswith("destination-")]
+        faults.append(f"the present decision module diverges from the capture at {data.divergence}")
+    panels = [name for name in images if name.startswith("destination-")]
     return PAGE_TEMPLATE.format(
         title=html.escape(f"Capture of {data.sender or 'a sender'}"),
-        facts=html.escape(_facts(data)),
+        summary=html.escape(_summary_line(data)),
         faults="".join(f'<p class="fault">{html.escape(fault)}</p>' for fault in faults),
-        overview=_image(pictures, "overview.png"),
-        maps=_image(pictures, "destinations.png"),
-        panels="".join(_image(pictures, name) for name in panels),
+        overview=_image(images, "overview.png"),
+        heatmaps=_image(images, "destinations.png"),
+        panels="".join(_image(images, name) for name in panels),
         heads="".join(f"<th>{html.escape(title)}</th>" for title in COLUMN_TITLES),
         rows="".join(_table_row(row) for row in summary_rows(data)),
     )
 
 
-def _facts(data: ReportData) -> str:
+def _summary_line(data: ReportData) -> str:
     span_s = data.span_s()
     return (
         f"{data.start_time:%Y-%m-%d %H:%M:%S} UTC, {span_s:.1f} s, {len(data.destinations)} destinations, "
-        f"{data.concurrency_limit} slots; each bin of the pictures is {span_s / BINS:.2f} s"
+        f"{data.concurrency_limit} slots; one bin of the charts is {span_s / BINS:.2f} s"
     )
 
 
@@ -139,9 +142,9 @@
     return "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in cells) + "</tr>"
 
 
-def _image(pictures: dict[str, bytes], name: str) -> str:
-    """Return a picture as an element of the page, or nothing where there is none of that name."""
-    if name not in pictures:
+def _image(images: dict[str, bytes], name: str) -> str:
+    """Return an embedded image element, or an empty text if there is no image of that name."""
+    if name not in images:
         return ""
-    encoded = base64.b64encode(pictures[name]).decode()
+    encoded = base64.b64encode(images[name]).decode()
     return f'<img alt="{name}" src="data:image/png;base64,{encoded}">'
--- a/kestreltrack/explain/tracing.py
+++ b/kestreltrack/explain/tracing.py
@@ -1,8 +1,8 @@
-"""A decision module that is traced: which messages it passes over, by which of its rules, and what it does.
+"""A decision module that emits trace events: its actions, and which rule blocks each message that it does not send.
 
-No rule is written down here a second time. The decision module says what blocks a destination, an endpoint or a
-message by its own `blocking_rule` functions, the same that it decides by; this class asks them again at the end of
-each dispatch, for what is traced alone. A module that is not traced is a plain `Policy` and pays nothing.
+No rule is implemented here a second time.  The `blocking_rule` functions by which the decision module decides are
+called again at the end of each dispatch, for the traced messages only.  Without tracing a plain `Policy` is used, so
+that tracing costs nothing there.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from kestreltrack.decision.arithmetic import NEVER
 from kestreltrack.decision.records import Call, CallLimits, Destination, Endpoint, Message
 
-UNEXPLAINED = "unexplained"  # a test holds that no message is ever passed over so
+UNEXPLAINED = "unexplained"  # tests check that no message is ever blocked without a rule
 
 
 @dataclass(frozen=True, slots=True)
 class MessageBlocked:
-    """A message was passed over, by a rule; `detail` gives its figures."""
+    """A rule blocks a queued message; `detail` gives the figures of the rule."""
 
     id: str
     dest: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptChosen:
-    """An attempt starts; `alternatives` are the other endpoints that accept it, with their costs in ms."""
+    """An attempt starts; `alternatives` are the other candidate endpoints with their costs in ms."""
 
     id: str
     attempt: int
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageGivenUp:
-    """A message was given up, and why there is no further attempt."""
+    """A message was given up; `reason` says why there is no further attempt."""
 
     id: str
     reason: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCancelled:
-    """An attempt was cancelled that had no answer for too long."""
+    """An attempt was cancelled because its answer was overdue."""
 
     id: str
     attempt: int
@@ -80,36 +80,36 @@
 
 
 class TraceListener(Protocol):
-    """Receives the trace events."""
+    """Receives trace events."""
 
     def __call__(self, now: float, event: TraceEvent) -> None:
-        """Take one event, at a clock reading."""
+        """Handle a trace event at the clock reading `now`."""
 
 
 @dataclass(slots=True)
 class TraceFilter:
-    """What is traced: messages, destinations, or every one of them."""
+    """Selects what is traced, and the listener that receives the trace events."""
 
     listener: TraceListener
     message_ids: set[str] = field(default_factory=set)
     destinations: set[int] = field(default_factory=set)
     everything: bool = False
-    # Also what is passed over: the costly part where many messages are queued.
+    # Also emit `MessageBlocked`, which costs a rule evaluation per queued message and dispatch.
     include_blocked: bool = True
 
     def matches(self, message: Message, dest: int) -> bool:
-        """Return whether a message, or its destination, is traced."""
+        """Return whether a message or its destination is traced."""
         return self.everything or message.id in self.message_ids or dest in self.destinations
 
 
 class TracingPolicy(Policy):
-    """A decision module that tells a listener what it does and what it passes over."""
+    """A decision module that reports its actions and the messages that it blocks to a listener."""
 
     trace_filter: TraceFilter | None = None
-    _health: dict[tuple[int, str], tuple[str, int]]  # state and failures in a row, as last told
+    _health: dict[tuple[int, str], tuple[str, int]]  # state and consecutive failures, as last reported
 
     def start_tracing(self, trace_filter: TraceFilter) -> None:
-        """Begin to trace."""
+        """Start to emit trace events."""
         self.trace_filter = trace_filter
         self._health = {}
         self._destination_numbers = {id(dest): n for n, dest in self.destinations.items()}
@@ -119,62 +119,64 @@
         self.trace_filter.listener(self.now, event)
 
     def destination_number(self, destination: Destination) -> int:
-        """Return the number of a destination, or -1 where it is not known any more."""
+        """Return the number of a destination, or -1 if it is no longer known."""
         number = self._destination_numbers.get(id(destination))
         if number is None or self.destinations.get(number) is not destination:
             self._destination_numbers = {id(d): n for n, d in self.destinations.items()}
             number = self._destination_numbers.get(id(destination), -1)
         return number
 
-    def why_blocked(self, message: Message) -> tuple[str, str]:
-        """Return the rule by which a queued message does not go now, with figures; no rule where it may go."""
+    def explain_block(self, message: Message) -> tuple[str, str]:
+        """Return the rule that blocks a queued message now, with details; two empty texts if it may be sent."""
         destination = message.destination
         rule = self.blocking_rule(destination)
         if rule:
             return rule, self._rule_details(destination, rule, destination.limits)
         ready = endpoint_selection.ready_endpoints(destination, self.now)
         if not ready:
-            return self._why_no_endpoint_is_ready(destination)
+            return self._explain_no_ready_endpoint(destination)
         if not message_rules.has_time_left(message, self.now):
-            return "no time", f"{message.expires - self.now:.0f} ms left of its time"
+            return "no time", f"expires in {message.expires - self.now:.0f} ms"
         rule = message_rules.blocking_rule(message, self.now, {endpoint.zone for endpoint in ready})
         if rule:
             return rule, self._message_rule_details(message, rule)
         if self.in_flight >= self.settings.concurrency_limit:
-            return self._why_no_slot(message)
+            return self._explain_no_slot(message)
         return "", ""
 
     def _message_rule_details(self, message: Message, rule: str) -> str:
         if rule == "not sent":
-            return f"it never left here, {message.retry_not_before - self.now:.0f} ms to go"
+            return f"the last attempt was not sent, retry in {message.retry_not_before - self.now:.0f} ms"
         queue = message.key_queue
         if queue:
-            return f"key line of {len(queue.messages)}, {queue.in_flight} out"
-        return f"it went in zone {message.ambiguous_zone}"
+            return f"{len(queue.messages)} messages queued for its ordering key, {queue.in_flight} in flight"
+        return f"an earlier attempt went to zone {message.ambiguous_zone}"
 
-    def _why_no_slot(self, message: Message) -> tuple[str, str]:
+    def _explain_no_slot(self, message: Message) -> tuple[str, str]:
         ahead_ms = message.start_tag - self.now - self.virtual_time_shift
         slots = (
-            f"all {self.settings.concurrency_limit} slots taken, "
+            f"all {self.settings.concurrency_limit} slots in use, "
             f"{message.destination.in_flight} by this destination"
         )
         if ahead_ms > 0:
-            return "tag not eligible", f"{ahead_ms:.0f} ms ahead; {slots}"
+            return "tag not eligible", f"start tag is {ahead_ms:.0f} ms ahead; {slots}"
         return "no slot", slots
 
-    def _why_no_endpoint_is_ready(self, destination: Destination) -> tuple[str, str]:
+    def _explain_no_ready_endpoint(self, destination: Destination) -> tuple[str, str]:
         if not destination.endpoints:
-            return "not listed", "no endpoint of this destination is on the list"
+            return "not listed", "no endpoint of this destination is listed"
         rules = list[tuple[str, str]]()
         for endpoint in destination.endpoints.values():
-            rule, limits = self._why_endpoint_is_blocked(endpoint)
+            rule, limits = self._endpoint_blocking_rule(endpoint)
             rules.append((rule, f"{endpoint.name}: {self._rule_details(destination, rule, limits)}"))
-        most = max({rule for rule, _ in rules}, key=lambda rule: sum(other == rule for other, _ in rules))
-        return most, "; ".join(
-            detail if rule == most else f"{detail} ({rule})" for rule, detail in sorted(rules)
+        main_rule = max(
+            {rule for rule, _ in rules}, key=lambda rule: sum(other == rule for other, _ in rules)
+        )
+        return main_rule, "; ".join(
+            detail if rule == main_rule else f"{detail} ({rule})" for rule, detail in sorted(rules)
         )
 
-    def _why_endpoint_is_blocked(self, endpoint: Endpoint) -> tuple[str, CallLimits | None]:
+    def _endpoint_blocking_rule(self, endpoint: Endpoint) -> tuple[str, CallLimits | None]:
         if not endpoint.accepts_calls:
             return ("draining" if endpoint.listed else "off the list"), None
         for limits in endpoint.limits:
@@ -185,39 +187,39 @@
 
     def _rule_details(self, destination: Destination, rule: str, limits: CallLimits | None) -> str:
         if rule == "cap":
-            slots = f"{destination.in_flight} of {self.settings.concurrency_limit} slots are its own"
-            return slots + (", it is sick" if destination.unhealthy else "")
+            slots = f"the destination uses {destination.in_flight} of {self.settings.concurrency_limit} slots"
+            return slots + (", and is unhealthy" if destination.unhealthy else "")
         return rule if limits is None else self._limit_details(destination, rule, limits)
 
     def _limit_details(self, destination: Destination, rule: str, limits: CallLimits) -> str:
         now, breaker = self.now, limits.breaker
         match rule:
             case "told wait":
-                return f"{max(limits.retry_after_until, destination.retry_after_until) - now:.0f} ms to go"
+                return f"{max(limits.retry_after_until, destination.retry_after_until) - now:.0f} ms left"
             case "fleet tries":
                 lease_ms = destination.quota_lease[1] - now
-                return f"another sender has the turn, for {lease_ms:.0f} ms at the longest"
+                return f"another sender holds the quota lease, for at most {lease_ms:.0f} ms"
             case "circuit open":
-                failures = f"after {breaker.consecutive_failures} failures in a row"
-                return f"{breaker.open_until - now:.0f} ms to go {failures}"
+                failures = f"after {breaker.consecutive_failures} consecutive failures"
+                return f"{breaker.open_until - now:.0f} ms left {failures}"
             case "pace":
                 shares, tokens = rate_limit.rate_and_tokens(limits, now)
                 base_rate = limits.send_rate.base_rate_per_s
-                return f"{shares:.1f} of {base_rate:.1f} calls a second, {tokens:.2f} tokens"
+                return f"{shares:.1f} even shares of a limit of {base_rate:.1f} calls per second, {tokens:.2f} tokens"
             case "trial out":
-                return "one call is out to see whether it works again"
+                return "a trial call is in flight"
             case "slow start":
-                return f"a call every {rate_limit.call_interval_ms(limits, now):.0f} ms"
+                return f"one call per {rate_limit.call_interval_ms(limits, now):.0f} ms"
         return rule
 
-    # What the module does ------------------------------------------------------------------------------
+    # Actions and state changes -------------------------------------------------------------------------
 
     def _dispatch(self) -> None:
         super()._dispatch()
         if self.trace_filter is None or not self.trace_filter.include_blocked:
             return
         for message in self._traced_messages(self.trace_filter):
-            rule, detail = self.why_blocked(message)
+            rule, detail = self.explain_block(message)
             number = self.destination_number(message.destination)
             self._emit(MessageBlocked(message.id, number, rule or UNEXPLAINED, detail))
 
@@ -225,13 +227,13 @@
         active = self.active_destinations
         if trace_filter.everything:
             return [message for destination in active.values() for message in destination.queued.values()]
-        named = [self.messages[id_] for id_ in trace_filter.message_ids if id_ in self.messages]
+        by_id = [self.messages[id_] for id_ in trace_filter.message_ids if id_ in self.messages]
         numbers = [number for number in trace_filter.destinations if number in active]
-        there = [message for number in numbers for message in active[number].queued.values()]
-        return [message for message in named if message.id in message.destination.queued] + there
+        by_destination = [message for number in numbers for message in active[number].queued.values()]
+        return [message for message in by_id if message.id in message.destination.queued] + by_destination
 
     def decide(self, now: float) -> list[Action]:
-        """Decide, and tell how the health of the traced destinations has changed."""
+        """Decide, and report changes in the health of the traced destinations."""
         actions = list(super().decide(now))
         if self.trace_filter is not None:
             everything = self.trace_filter.everything
@@ -258,7 +260,7 @@
             self._emit(HealthChanged(number, endpoint, state, self._state_details(limits, state)))
 
     def breaker_state(self, limits: CallLimits) -> str:
-        """Return the state of the limits of calls in a word."""
+        """Return the name of the health state of a destination or endpoint with these limits."""
         if limits.retry_after_active(self.now):
             return "told wait"
         if limits.breaker.consecutive_failures:
@@ -268,17 +270,17 @@
 
     def _state_details(self, limits: CallLimits, state: str) -> str:
         shares, base_rate = rate_limit.rate_and_tokens(limits, self.now)[0], limits.send_rate.base_rate_per_s
-        pace = f"pace {shares:.1f} of {base_rate:.1f} a second"
+        send_rate = f"send rate {shares:.1f} even shares of a limit of {base_rate:.1f} per second"
         if state == "told wait":
             until = max(limits.retry_after_until, limits.destination.retry_after_until)
-            return f"for {until - self.now:.0f} ms, {pace}"
+            return f"for {until - self.now:.0f} ms, {send_rate}"
         if state == "open":
             pause_ms = max(0.0, limits.breaker.open_until - self.now)
             failures = limits.breaker.consecutive_failures
-            return f"{failures} failures in a row, next trial in {pause_ms:.0f} ms"
+            return f"{failures} consecutive failures, next trial call in {pause_ms:.0f} ms"
         if state == "slow start":
-            return f"a call every {rate_limit.call_interval_ms(limits, self.now):.0f} ms"
-        return pace
+            return f"one call per {rate_limit.call_interval_ms(limits, self.now):.0f} ms"
+        return send_rate
 
     def _start_call(self, first: Message) -> None:
         trace_filter = self.trace_filter
--- a/tests/test_against.py
+++ b/tests/test_against.py
@@ -8,7 +8,7 @@
 
 import pytest
 from captures.scripts import FOLDER
-from test_explain import capture, said
+from test_explain import capture, run_command
 
 import kestreltrack
 from kestreltrack.capture.reader import capture_files
@@ -90,7 +90,7 @@
     ],
 )
 def test_what_is_no_version_is_told(where: str, words: str) -> None:
-    code, _, err = said("replay", str(FOLDER / "doubt.ktc"), "--against", where)
+    code, _, err = run_command("replay", str(FOLDER / "doubt.ktc"), "--against", where)
     assert code == 2 and words in err
 
 
@@ -103,11 +103,11 @@
 
 def test_the_command(tmp_path: Path) -> None:
     file = str(FOLDER / "dead-destination.ktc")
-    code, out, _ = said("replay", file, "--against", version(tmp_path / "v"), "--json")
+    code, out, _ = run_command("replay", file, "--against", version(tmp_path / "v"), "--json")
     assert code == 0 and json.loads(out)["alike"]
     slow = version(tmp_path / "w", "MAX_PAUSE_MS = 1000.0", "MAX_PAUSE_MS = 60000.0")
-    code, out, _ = said("replay", file, "--against", slow, "--json")
+    code, out, _ = run_command("replay", file, "--against", slow, "--json")
     found = json.loads(out)
     assert code == 1 and not found["alike"] and found["partings"][0]["was"] != found["partings"][0]["would"]
-    code, out, _ = said("replay", file, "--against", slow)
+    code, out, _ = run_command("replay", file, "--against", slow)
     assert code == 1 and "not comparable" in out and "would be" in out
--- a/tests/test_drawn.py
+++ b/tests/test_drawn.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import SETTINGS
 from test_emulator import SHORT, attempt_answered, create_destination
-from test_explain import said
+from test_explain import run_command
 
 from kestreltrack.decision import Policy, RejectMessage, StartAttempt
 from kestreltrack.invariants.events import (
@@ -382,9 +382,9 @@
 
 
 def test_emulate_command_runs_random_scenario() -> None:
-    code, out, _ = said("emulate", "--deployment", "drawn", "--seed", "8", "--length", "5")
+    code, out, _ = run_command("emulate", "--deployment", "drawn", "--seed", "8", "--length", "5")
     assert code == 0 and "capacity alone" in out and "drawn-8" in out
-    code, out, _ = said("emulate", "--deployment", "drawn", "--seed", "8", "--length", "5", "--json")
+    code, out, _ = run_command("emulate", "--deployment", "drawn", "--seed", "8", "--length", "5", "--json")
     assert json.loads(out).keys() == {"deployment", "module", "baseline", "bound"}
-    code, _, err = said("emulate", "calm", "--deployment", "drawn")
+    code, _, err = run_command("emulate", "calm", "--deployment", "drawn")
     assert code == 2 and "expected drawn" in err
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -13,7 +13,7 @@
 import numpy as np
 import pytest
 from test_cli import ENV
-from test_explain import said
+from test_explain import run_command
 
 from kestreltrack.capture.reader import capture_files
 from kestreltrack.capture.replay import replay
@@ -315,7 +315,7 @@
 
 
 def test_captures_of_a_simulation_replay_identically(tmp_path: Path) -> None:
-    code, out, _ = said(
+    code, out, _ = run_command(
         "emulate", "rolling", "--set", "day.length_s=15", "--capture", str(tmp_path), "--json"
     )
     found = json.loads(out)
@@ -326,12 +326,12 @@
 
 
 def test_emulate_command_prints_table_and_reports_invalid_arguments() -> None:
-    code, out, _ = said("emulate")
+    code, out, _ = run_command("emulate")
     assert code == 0 and "monday" in out
-    code, out, _ = said("emulate", "calm", "--set", "day.length_s=5")
+    code, out, _ = run_command("emulate", "calm", "--set", "day.length_s=5")
     assert code == 0 and "kept" in out
     for arguments, text in ((("nowhere",), "there are busy"), (("calm", "--set", "x"), "expected KEY=VALUE")):
-        code, _, err = said("emulate", *arguments)
+        code, _, err = run_command("emulate", *arguments)
         assert code == 2 and text in err
 
 
--- a/tests/test_pseudonyms.py
+++ b/tests/test_pseudonyms.py
@@ -9,7 +9,7 @@
 import pytest
 import test_random
 from captures.scripts import Stepping
-from test_explain import capture, said
+from test_explain import capture, run_command
 
 from kestreltrack.capture import recorder, records
 from kestreltrack.capture.anonymise import anonymise
@@ -111,8 +111,8 @@
         Pseudonyms(read_key_file(key_file)).message_id("m3"),
     )
     assert (before.rows, before.end, before.attempts) == (after.rows, after.end, after.attempts)
-    assert said("explain", str(tmp_path / "hashed"), "m3")[0] == 1
-    code, out, _ = said("explain", str(tmp_path / "hashed"), "m3", "--key-file", str(key_file))
+    assert run_command("explain", str(tmp_path / "hashed"), "m3")[0] == 1
+    code, out, _ = run_command("explain", str(tmp_path / "hashed"), "m3", "--key-file", str(key_file))
     assert code == 0
     assert "end:" in out
 
@@ -139,7 +139,7 @@
     folder = capture(tmp_path / "a", monkeypatch, 50)
     key_file = tmp_path / "key"
     key_file.write_bytes(b"x" * 20)
-    code, _, _ = said(
+    code, _, _ = run_command(
         "capture", "anonymise", str(folder), "--out", str(tmp_path / "n"), "--key-file", str(key_file)
     )
     assert code == 0
@@ -148,6 +148,6 @@
         (("--out", str(folder), "--key-file", str(key_file)), "another folder"),
         (("--out", str(tmp_path / "o"), "--key-file", str(tmp_path / "none")), "No such file"),
     ):
-        code, _, err = said("capture", "anonymise", str(folder), *arguments)
+        code, _, err = run_command("capture", "anonymise", str(folder), *arguments)
         assert code == 2
         assert error_text in err
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""The report of a capture: its figures, its page with the pictures, and the command."""
+"""The report of a capture: its figures, its page with the images, and the command."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from pathlib import Path
 
 import pytest
-from test_explain import capture, said
+from test_explain import capture, run_command
 
 from kestreltrack.capture.cursor import CaptureFiles
 from kestreltrack.capture.reader import capture_files
 from kestreltrack.explain import destination_timeline, report, report_page
 
 
-def test_the_report_counts_what_happened_and_holds_its_datas(
+def test_the_report_has_the_figures_of_each_destination_and_embeds_its_images(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     files = CaptureFiles(capture_files([capture(tmp_path / "a", monkeypatch, 50)]))
@@ -30,19 +30,19 @@
         report.HEALTH_STATES.index("told wait") in one.health_state
         and report.HEALTH_STATES.index("draining") in two.health_state
     )
-    found = destination_timeline.build_timeline(files, 1)
-    assert one.counts["sent"].sum() == found.attempts and one.in_flight.max() == found.max_in_flight
+    timeline = destination_timeline.build_timeline(files, 1)
+    assert one.counts["sent"].sum() == timeline.attempts and one.in_flight.max() == timeline.max_in_flight
     written = report_page.write_report(data, tmp_path / "r")
     page = written[0].read_text()
     assert page.count("data:image/png;base64,") == len(written) - 1 == 4 and "http" not in page
     assert all(file.read_bytes()[:4] == b"\x89PNG" for file in written[1:])
 
 
-def test_the_report_command_writes_a_page_and_names_both_destinations(
+def test_the_report_command_writes_a_page_and_lists_both_destinations(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    place = capture(tmp_path / "a", monkeypatch, 50)
-    code, out, _ = said("report", str(place), "--out", str(tmp_path / "r"), "--json")
+    folder = capture(tmp_path / "a", monkeypatch, 50)
+    code, out, _ = run_command("report", str(folder), "--out", str(tmp_path / "r"), "--json")
     assert (
         code == 0 and len(json.loads(out)["destinations"]) == 2 and (tmp_path / "r" / "report.html").exists()
     )
--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from test_against import version
-from test_explain import capture, said
+from test_explain import capture, run_command
 
 from kestreltrack.capture.cursor import CaptureFiles
 from kestreltrack.capture.reader import capture_files
@@ -154,7 +154,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     place, out = str(capture(tmp_path / "a", monkeypatch, 10**9)), tmp_path / "small.ktc"
-    code, told, _ = said(
+    code, told, _ = run_command(
         "capture", "shrink", place, "--shows", "end:m42=refused", "--out", str(out), "--json"
     )
     assert code == 0 and json.loads(told)["after"]["messages"] == 1 and replay([out]).identical()
@@ -164,5 +164,5 @@
         ("rule:two attempts", 1, "does not show it"),
         ("x", 2, "expected end:ID=WORD"),
     ):
-        code, _, err = said("capture", "shrink", place, "--shows", shows, "--out", str(out))
+        code, _, err = run_command("capture", "shrink", place, "--shows", shows, "--out", str(out))
         assert code == expected and words in err
