--- a/tests/test_shrink.py
+++ b/tests/test_shrink.py
@@ -9,7 +9,7 @@
 from captures.scripts import FOLDER
 from hypothesis import given
 from hypothesis import strategies as st
-from test_explain import capture, said
+from test_explain import capture, run_command
 from test_version_comparison import copy_version
 
 from kestreltrack.capture.cursor import CaptureFiles
@@ -164,7 +164,7 @@
 ) -> None:
     folder = str(capture(tmp_path / "a", monkeypatch, 10**9))
     out = tmp_path / "small.ktc"
-    code, printed, _ = said(
+    code, printed, _ = run_command(
         "capture", "shrink", folder, "--shows", "end:m42=refused", "--out", str(out), "--json"
     )
     assert code == 0
@@ -176,6 +176,6 @@
         ("rule:two attempts", 1, "the complete input, resimulated, does not show the property"),
         ("x", 2, "expected end:ID=WORD"),
     ):
-        code, _, err = said("capture", "shrink", folder, "--shows", shows, "--out", str(out))
+        code, _, err = run_command("capture", "shrink", folder, "--shows", shows, "--out", str(out))
         assert code == expected_code
         assert expected_error in err
--- a/tests/test_version_comparison.py
+++ b/tests/test_version_comparison.py
@@ -8,7 +8,7 @@
 
 import pytest
 from captures.scripts import FOLDER
-from test_explain import capture, said
+from test_explain import capture, run_command
 
 import kestreltrack
 from kestreltrack.capture.reader import capture_files
@@ -93,7 +93,7 @@
     ],
 )
 def test_an_invalid_version_is_rejected(source: str, expected_error: str) -> None:
-    code, _, err = said("replay", str(FOLDER / "doubt.ktc"), "--against", source)
+    code, _, err = run_command("replay", str(FOLDER / "doubt.ktc"), "--against", source)
     assert code == 2
     assert expected_error in err
 
@@ -107,16 +107,16 @@
 
 def test_the_replay_command_prints_the_comparison_and_exits_1_if_decisions_differ(tmp_path: Path) -> None:
     file = str(FOLDER / "dead-destination.ktc")
-    code, out, _ = said("replay", file, "--against", copy_version(tmp_path / "v"), "--json")
+    code, out, _ = run_command("replay", file, "--against", copy_version(tmp_path / "v"), "--json")
     assert code == 0
     assert json.loads(out)["alike"]
     longer_pause = copy_version(tmp_path / "w", "MAX_PAUSE_MS = 1000.0", "MAX_PAUSE_MS = 60000.0")
-    code, out, _ = said("replay", file, "--against", longer_pause, "--json")
+    code, out, _ = run_command("replay", file, "--against", longer_pause, "--json")
     document = json.loads(out)
     assert code == 1
     assert not document["alike"]
     assert document["partings"][0]["was"] != document["partings"][0]["would"]
-    code, out, _ = said("replay", file, "--against", longer_pause)
+    code, out, _ = run_command("replay", file, "--against", longer_pause)
     assert code == 1
     assert "not comparable" in out
     assert "would be" in out
