--- a/kestreltrack/__init__.py
+++ b/kestreltrack/__init__.py
@@ -1,3 +1,3 @@
-"""kestreltrack: a sender that delivers outbound messages to other firms' systems."""
+"""kestreltrack: a sender that delivers outbound messages to other companies' systems."""
 
-VERSION = "0.2.0"  # as in pyproject.toml
+VERSION = "0.2.0"  # Must match the version in pyproject.toml.
--- a/kestreltrack/__main__.py
+++ b/kestreltrack/__main__.py
@@ -1,26 +1,26 @@
-"""Run as ``python -m kestreltrack``: one real sender, configured by the ``GW_*`` variables.
+"""Run as ``python -m kestreltrack``: the sender process, configured by the ``GW_*`` variables.
 
-With arguments it is the command line of `cli`, which needs the extras [tools] and [etcd]; without arguments none of
-that is imported.
+With arguments it runs the command line in `kestreltrack.cli`, which needs the extras [tools] and [etcd]; without
+arguments, none of these modules is imported.
 """
 
 import os
 import signal
 import sys
 
-# What operators ask of a running process: a reload, and its counters.
+# Operators request a reload of the settings with SIGHUP, and the counters with SIGUSR1.
 REQUEST_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
 
 
 def main() -> int:
     """Run the sender or a command, and return the exit code.
 
-    A configuration that cannot be used, or a library that is not installed, ends in one line and the code 2.
+    An invalid configuration or a missing library prints one line on standard error and exits with code 2.
     """
     has_command = len(sys.argv) > 1
     if not has_command:
-        # Neither is of use before the file has been read, and either would end the process.  This comes before the
-        # imports, which take their time.
+        # The default action of either signal ends the process.  Both are ignored until the sender, which has read
+        # its configuration by then, installs its handlers; this precedes the imports because these are slow.
         for number in REQUEST_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
     from kestreltrack.config.errors import ConfigError
@@ -35,7 +35,7 @@
 
 
 def run() -> int:
-    """Run one real sender until it is stopped."""
+    """Run the sender until it is stopped."""
     import asyncio
 
     import uvloop
@@ -45,8 +45,8 @@
     async def serve_until_stopped() -> None:
         await serve(os.environ)
         loop = asyncio.get_running_loop()
-        # The loop gives the signals that it handles their default action as it closes, which would end the process as
-        # a crash does.  They are blocked while they change hands.
+        # When the loop closes, it restores the default action of the signals that it handles, so a signal during the
+        # exit would end the process like a crash.  They are blocked until they are ignored.
         signal.pthread_sigmask(signal.SIG_BLOCK, REQUEST_SIGNALS)
         for number in REQUEST_SIGNALS:
             loop.remove_signal_handler(number)
@@ -58,7 +58,7 @@
 
 
 def command_line() -> int:
-    """Run a command of the command line."""
+    """Run the command that the arguments name, and return its exit code."""
     from kestreltrack.cli.app import main as run_command
 
     return run_command()
--- a/kestreltrack/cli/app.py
+++ b/kestreltrack/cli/app.py
@@ -35,8 +35,13 @@
 from kestreltrack.config.operator import LoadedOperatorConfig, effective_values, load_operator_config
 from kestreltrack.config.sender import ConfigError, SenderConfig, load_sender_config
 
-# The variable of each attribute of the sender's configuration that can be set by one.
-VARIABLES = {"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY", "state": "GW_STATE"}
+# The environment variable of each attribute of `SenderConfig` that has one.
+VARIABLE_OF_SETTING = {
+    "name": "GW_NAME",
+    "listen": "GW_LISTEN",
+    "discovery": "GW_DISCOVERY",
+    "state": "GW_STATE",
+}
 
 app = typer.Typer(
     name="kestreltrack",
@@ -86,7 +91,8 @@
     from kestreltrack.sender.daemon import serve
 
     environment, values = environment_and_overrides(operator_file, overrides)
-    # SIGHUP would end the process; it is ignored until the sender has a handler, which reloads the settings.
+    # By default SIGHUP ends the process; it is ignored until the sender installs its handler, which reloads the
+    # settings.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -96,10 +102,10 @@
 
 
 def _sender_config_rows(config: SenderConfig, environment: dict[str, str]) -> list[tuple[str, Any, str]]:
-    """Return key, value and origin of each setting that the platform gives."""
+    """Return the key, value and origin of each setting that the platform provides."""
     file = f"file {environment.get('GW_CONFIG', '')}"
     rows = list[tuple[str, Any, str]]()
-    for key, variable in VARIABLES.items():
+    for key, variable in VARIABLE_OF_SETTING.items():
         origin = f"variable {variable}" if environment.get(variable) else file
         rows.append((key, str(getattr(config, key)), origin))
     rows.append(("limits.sockets", config.sockets, file))
@@ -111,10 +117,10 @@
 
 
 def _check_etcd_client(loaded: LoadedOperatorConfig) -> None:
-    """Create and close a client of etcd, which reads its TLS files.
+    """Create and close an etcd client; creating it reads its TLS files.
 
     Raises:
-        ConfigError: Where a file cannot be used.
+        ConfigError: If a file cannot be used.
     """
     from kestreltrack.sender.etcd_factory import create_client
 
@@ -156,7 +162,7 @@
         Path | None, typer.Option(help="Write a capture to this folder, for `replay`.")
     ] = None,
 ) -> None:
-    """Run a sender among fakes: etcd, failing destinations, draining endpoints, a lost etcd member.
+    """Run a sender among fakes: etcd, failing destinations, draining endpoints, the loss of an etcd member.
 
     Exits with 1 if a message is lost or executed twice, or a drained endpoint is called.
     """
@@ -174,7 +180,7 @@
     except (typer.Abort, KeyboardInterrupt):
         return 130
     except Exception as error:
-        # The usage errors of the command line library print themselves.
+        # Usage errors of the command-line library have a method that prints them.
         show = getattr(error, "show", None)
         if show is None:
             raise
--- a/kestreltrack/cli/capture_analysis.py
+++ b/kestreltrack/cli/capture_analysis.py
@@ -1,4 +1,4 @@
-"""`kestreltrack report`, and the commands of `kestreltrack capture` on files: query, merge, anonymise, shrink."""
+"""`kestreltrack report`, and the `kestreltrack capture` commands on files: query, merge, anonymise, shrink."""
 
 from __future__ import annotations
 
@@ -27,26 +27,30 @@
 if TYPE_CHECKING:
     from kestreltrack.explain.report import ReportData
 
-KEY_FILE = Annotated[Path, typer.Option("--key-file", help="The key of the hashes, 16 to 64 bytes.")]
-# How a message can end, as `--shows end:ID=...` names it; `none`: it has not ended within the capture.
+KEY_FILE = Annotated[
+    Path, typer.Option("--key-file", help="File with the key of the hashes, 16 to 64 bytes.")
+]
+# The results that `--shows end:ID=...` accepts; `none` means that the message has not ended within the capture.
 END_RESULTS = ("delivered", "refused", "failed", "none")
-# Rows that a table shows of a longer result; `--json` and `--out` give all.
+# Printed tables are cut off at these numbers of rows; `--json` and `--out` write all rows.
 MAX_DESTINATIONS_SHOWN = 40
 MAX_QUERY_ROWS_SHOWN = 200
-# What `ShrinkResult.size_before` and `size_after` count.
+# Names of the elements of `ShrinkResult.size_before` and `size_after`.
 SIZE_NAMES = ("destinations", "messages", "steps")
 
 
 def report_command(
     files: FILES,
-    out: Annotated[Path, typer.Option("--out", help="Folder for the page and its images.")] = Path("report"),
+    out: Annotated[Path, typer.Option("--out", help="Folder for the report page and its images.")] = Path(
+        "report"
+    ),
     since: SINCE = None,
     until: UNTIL = None,
     as_json: JSON = False,
 ) -> None:
     """Write a report of a capture: a self-contained page and its images as PNGs; print a table of destinations.
 
-    Exits with 1 where the present decision code differs from the capture.
+    Exits with 1 if the present decision code differs from the capture.
     """
     from kestreltrack.explain import report, report_page
 
@@ -86,9 +90,9 @@
 
 def query_command(
     files: Annotated[
-        list[Path], typer.Argument(help="Captures, one for each sender, or a folder that merge wrote.")
+        list[Path], typer.Argument(help="One capture for each sender, or a folder written by merge.")
     ],
-    sql: Annotated[str, typer.Option("--sql", help="A query of the tables `events` and `messages`.")] = (
+    sql: Annotated[str, typer.Option("--sql", help="SQL query over the tables `events` and `messages`.")] = (
         'SELECT sender, "end", count(*) AS messages, avg(held_ms) AS mean_ms, max(held_ms) AS most_ms '
         'FROM messages GROUP BY sender, "end" ORDER BY messages DESC'
     ),
@@ -115,7 +119,7 @@
 
 
 def merge_command(
-    files: Annotated[list[Path], typer.Argument(help="Captures, one for each sender: files or folders.")],
+    files: Annotated[list[Path], typer.Argument(help="One capture for each sender: files or folders.")],
     out: Annotated[Path, typer.Option("--out", help="Folder for events.parquet and messages.parquet.")],
     as_json: JSON = False,
 ) -> None:
@@ -145,12 +149,14 @@
         Path, typer.Option("--out", help="Folder for the anonymised files, under the same names.")
     ],
     key_file: KEY_FILE,
-    endpoints: Annotated[bool, typer.Option("--endpoints", help="Replace names of endpoints too.")] = False,
+    endpoints: Annotated[
+        bool, typer.Option("--endpoints", help="Also replace the names of endpoints.")
+    ] = False,
     as_json: JSON = False,
 ) -> None:
     """Replace message ids, tenants and keys by keyed hashes; the result replays as the original does.
 
-    `explain --key-file` finds a message in it by its original id.
+    In the result, `explain --key-file` finds a message by its original id.
     """
     capture = open_capture(files)
     if out.resolve() in {file.parent.resolve() for file in capture.files}:
@@ -171,7 +177,7 @@
     """Return the property that `--shows` names.
 
     Raises:
-        typer.Exit: With code 2 where it names none.
+        typer.Exit: With code 2 if the text is not a valid property.
     """
     kind, _, argument = text.partition(":")
     if kind == "end" and "=" in argument:
@@ -197,22 +203,24 @@
     out: Annotated[Path, typer.Option("--out", help="The capture file to write.")],
     since: SINCE = None,
     until: UNTIL = None,
-    most_runs: Annotated[int, typer.Option(min=1, help="Simulations at most.")] = 2000,
+    max_runs: Annotated[
+        int, typer.Option("--most-runs", min=1, help="Maximum number of simulations.")
+    ] = 2000,
     seconds: Annotated[
-        float, typer.Option(min=1, help="Time limit; the smallest capture until then is written.")
+        float, typer.Option(min=1, help="Time limit; the smallest capture found by then is written.")
     ] = 120.0,
     as_json: JSON = False,
 ) -> None:
     """Reduce a capture to a small one that still shows a property.
 
-    The input is simulated again and again without some of the destinations, messages, changes of the endpoint list,
-    or its end; what the property does not need is left out.  Exits with 1 if the complete input does not show it.
+    The input is simulated repeatedly without some of the destinations, messages or endpoint list changes, or without
+    its end; what the property does not need is removed.  Exits with 1 if the complete input does not show it.
     """
     capture_paths = open_capture(files).files
     with exit_on_capture_error(), tempfile.TemporaryDirectory() as work_folder:
         wanted = _parse_property(shows, Path(work_folder))
         complete_input = extract_input(capture_paths, since, until)
-        result = _shrink_with_progress(complete_input, wanted, most_runs, seconds)
+        result = _shrink_with_progress(complete_input, wanted, max_runs, seconds)
         result.resimulation.write_capture(out)
     if as_json:
         print_json(_shrink_document(result, out))
@@ -221,15 +229,17 @@
 
 
 def _shrink_with_progress(
-    complete_input: CapturedInput, wanted: Property, most_runs: int, seconds: float
+    complete_input: CapturedInput, wanted: Property, max_runs: int, seconds: float
 ) -> ShrinkResult:
-    most = float(max(1, len(complete_input.external_events) + len(complete_input.initial_state.dests)))
-    with ProgressBar((0.0, most), "shrinking") as bar:
+    initial_size = float(
+        max(1, len(complete_input.external_events) + len(complete_input.initial_state.dests))
+    )
+    with ProgressBar((0.0, initial_size), "shrinking") as bar:
 
         def on_progress(_runs: int, reduced: CapturedInput) -> None:
-            bar.advance_to(most - len(reduced.external_events) - len(reduced.initial_state.dests))
+            bar.advance_to(initial_size - len(reduced.external_events) - len(reduced.initial_state.dests))
 
-        return Shrinker(wanted, most_runs, seconds, on_progress).shrink(complete_input)
+        return Shrinker(wanted, max_runs, seconds, on_progress).shrink(complete_input)
 
 
 def _shrink_document(result: ShrinkResult, out: Path) -> dict[str, object]:
--- a/kestreltrack/cli/capture_options.py
+++ b/kestreltrack/cli/capture_options.py
@@ -1,4 +1,4 @@
-"""What the commands on capture files share: their arguments, and how errors in captures end a command."""
+"""Arguments and error handling that the commands on capture files share."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @contextmanager
 def exit_on_capture_error() -> Iterator[None]:
-    """Exit with 2 on a usage error, and with 1 where the capture does not allow what is asked.
+    """Exit with 2 on a usage error, and with 1 if the capture does not support the requested operation.
 
     Raises:
         typer.Exit: In place of the errors of `kestreltrack.capture`.
@@ -55,7 +55,7 @@
     """Open the capture in these files and folders.
 
     Raises:
-        typer.Exit: With code 2 where there is none, or it cannot be read.
+        typer.Exit: With code 2 if there is none, or it cannot be read.
     """
     files = capture_files(paths)
     if not files:
--- a/kestreltrack/cli/common.py
+++ b/kestreltrack/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: options, settings, errors, and output as tables, JSON and progress bars."""
+"""Shared parts of the commands: options, settings, errors, and output as tables, JSON and progress bars."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 T = TypeVar("T")
 
-# Columns of a table that is written to a file or a pipe, whose width is unknown: wide enough not to fold a usual row.
+# Width in columns of a table that is written to a file or a pipe: wide enough that a typical row does not wrap.
 REDIRECTED_WIDTH = 160
-# Updates of a progress bar over its span: more than this cannot be seen, and each one costs time.
-PROGRESS_STEPS = 200.0
+# Maximum updates of a progress bar over its span: more are not visible, and each one takes time.
+MAX_PROGRESS_UPDATES = 200.0
 
 OPERATOR_FILE = Annotated[
     Path | None,
@@ -62,7 +62,7 @@
     """Return the environment, with `operator_file` set in it, and the `--set` options as values by key.
 
     Raises:
-        typer.Exit: With code 2 where an option is not KEY=VALUE.
+        typer.Exit: With code 2 if an option is not KEY=VALUE.
     """
     environment = dict(os.environ)
     if operator_file is not None:
@@ -80,7 +80,7 @@
     """Load the operator's settings.
 
     Raises:
-        typer.Exit: With code 2 where they are invalid.
+        typer.Exit: With code 2 if they are invalid.
     """
     environment, values = environment_and_overrides(operator_file, overrides)
     try:
@@ -99,13 +99,13 @@
     """Send a command to a running sender over its admin socket and return the response.
 
     Raises:
-        typer.Exit: With code 2 where no socket is configured, with code 1 where the sender cannot be reached or
+        typer.Exit: With code 2 if no socket is configured, with code 1 if the sender cannot be reached or
             answers with an error.
     """
     if socket is None:
         configured = operator_config_or_exit(operator_file, overrides).config.admin.socket
         if not configured:
-            raise usage_error("admin.socket: expected the sender's socket, here or by --socket")
+            raise usage_error("admin.socket: expected the path of the sender's socket, here or in --socket")
         socket = Path(configured)
     try:
         response = send_command(socket, command, argument)
@@ -117,13 +117,13 @@
 
 
 def print_json(document: Any) -> None:
-    """Print one JSON document and a newline on standard output."""
+    """Print a JSON document and a newline on standard output."""
     sys.stdout.buffer.write(orjson.dumps(document, default=str) + b"\n")
     sys.stdout.buffer.flush()
 
 
 def print_table(headers: list[str], rows: list[list[str]], title: str | None = None) -> None:
-    """Print a table as wide as the terminal, or `REDIRECTED_WIDTH` columns wide where there is no terminal."""
+    """Print a table as wide as the terminal, or `REDIRECTED_WIDTH` columns wide if the output is not a terminal."""
     table = Table(title=title, box=box.SIMPLE_HEAD)
     for header in headers:
         table.add_column(header, overflow="fold")
@@ -133,10 +133,10 @@
 
 
 class ProgressBar:
-    """A progress bar over a span of the clock, on standard error; shown only on a terminal."""
+    """A progress bar over a span of a capture's clock, on standard error; shown only on a terminal."""
 
     def __init__(self, span: tuple[float, float], label: str) -> None:
-        """Prepare the bar; `span` is the first and the last clock, in ms."""
+        """Prepare the bar; `span` is the first and the last clock reading, in ms."""
         self._start = span[0]
         self._duration = max(1.0, span[1] - span[0])
         console = Console(stderr=True)
@@ -154,14 +154,14 @@
         self._bar.stop()
 
     def advance_to(self, clock_ms: float) -> None:
-        """Advance the bar to a clock; cheap enough to be called for each record."""
+        """Advance the bar to a clock reading; cheap enough to be called for each record."""
         if clock_ms >= self._next_update:
-            self._next_update = clock_ms + self._duration / PROGRESS_STEPS
+            self._next_update = clock_ms + self._duration / MAX_PROGRESS_UPDATES
             self._bar.update(self._task, completed=clock_ms - self._start)
 
 
 def run_async(coroutine: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end and return its result.
+    """Run a coroutine to completion and return its result.
 
     Raises:
         typer.Exit: With code 130 after Ctrl-C.
--- a/kestreltrack/cli/directory.py
+++ b/kestreltrack/cli/directory.py
@@ -39,14 +39,14 @@
     no_args_is_help=True,
 )
 WAIT = Annotated[
-    bool, typer.Option("--wait", help="Return once every registered sender has applied the change.")
+    bool, typer.Option("--wait", help="Wait until every registered sender has applied the change.")
 ]
-TIMEOUT = Annotated[float, typer.Option("--timeout", min=0.1, help="Seconds to wait at most.")]
+TIMEOUT = Annotated[float, typer.Option("--timeout", min=0.1, help="Maximum wait in seconds.")]
 UID = Annotated[str, typer.Argument(help="The endpoint's uid.")]
 
 
 class DirectoryListing(NamedTuple):
-    """The entries of the directory at one revision, and the senders that follow it."""
+    """The entries of the directory at one revision, and the senders that watch it."""
 
     revision: int
     entries: list[DirectoryEntry]
@@ -54,14 +54,14 @@
 
 
 class AppliedChange(NamedTuple):
-    """The revision of a change, and the senders that have not applied it; None: not waited for."""
+    """The revision of a change, and the senders that have not applied it, or None if they were not waited for."""
 
     revision: int
     behind: list[RegisteredSender] | None
 
 
 class ImportResult(NamedTuple):
-    """How many changes an import made, and the newest revision."""
+    """The number of changes that an import made, and the latest revision."""
 
     changes: int
     revision: int
@@ -75,7 +75,7 @@
     """Carry out an operation on the directory and return its result.
 
     Raises:
-        typer.Exit: With code 2 on invalid settings, with code 1 where etcd fails or rejects the change.
+        typer.Exit: With code 2 on invalid settings, with code 1 if etcd fails or rejects the change.
     """
     loaded = operator_config_or_exit(operator_file, overrides)
     etcd_settings = loaded.config.directory.etcd
@@ -117,7 +117,7 @@
 def list_(
     operator_file: OPERATOR_FILE = None, overrides: KEY_OVERRIDES = None, as_json: JSON = False
 ) -> None:
-    """List all endpoints, and the senders that follow the directory."""
+    """List all endpoints, and the senders that watch the directory."""
 
     async def read(directory: EtcdDirectory, _: LoadedOperatorConfig) -> DirectoryListing:
         revision, entries = await directory.list_entries()
@@ -187,18 +187,18 @@
     """Print a change.
 
     Raises:
-        typer.Exit: With code 1 where a sender has not applied it.
+        typer.Exit: With code 1 if a sender has not applied it.
     """
     behind = change.behind
     if as_json:
         names = None if behind is None else [sender.name for sender in behind]
         print_json({"revision": change.revision, "behind": names})
     else:
-        remark = "; all senders have applied it" if behind == [] else ""
-        print(f"{description} at revision {change.revision}{remark}")
+        note = "; all senders have applied it" if behind == [] else ""
+        print(f"{description} at revision {change.revision}{note}")
     if behind:
-        late = ", ".join(f"{sender.name} (at {sender.revision})" for sender in behind)
-        raise command_failure(f"not yet applied by {late}")
+        senders_behind = ", ".join(f"{sender.name} (at {sender.revision})" for sender in behind)
+        raise command_failure(f"not yet applied by {senders_behind}")
 
 
 def _apply_change(
@@ -224,7 +224,9 @@
 def put(
     entry: Annotated[
         str,
-        typer.Argument(help="One entry as the platform's discovery has it, as JSON; - reads it from stdin."),
+        typer.Argument(
+            help="One entry in the format of the platform's discovery, as JSON; - reads it from stdin."
+        ),
     ],
     operator_file: OPERATOR_FILE = None,
     overrides: KEY_OVERRIDES = None,
@@ -309,7 +311,7 @@
     """Read the entries of a file in the platform's format.
 
     Raises:
-        typer.Exit: With code 2 where it cannot be read or has another format.
+        typer.Exit: With code 2 if it cannot be read or has another format.
     """
     try:
         document = orjson.loads(file.read_bytes())
@@ -322,10 +324,10 @@
 
 
 async def _import_with_progress(
-    directory: EtcdDirectory, rows: list[dict[str, Any]], prune: bool, hidden: bool
+    directory: EtcdDirectory, rows: list[dict[str, Any]], prune: bool, hide_progress: bool
 ) -> ImportResult:
     result = ImportResult(0, 0)
-    with Progress(console=Console(stderr=True), disable=hidden) as progress:
+    with Progress(console=Console(stderr=True), disable=hide_progress) as progress:
         task = progress.add_task("import", total=None)
         async for changes_made, total, revision in directory.import_entries(rows, prune):
             result = ImportResult(changes_made, revision)
@@ -338,19 +340,21 @@
 def import_(
     file: Annotated[
         Path,
-        typer.Argument(help="JSON as the platform's discovery answers: an object with targets, or a list."),
+        typer.Argument(
+            help="JSON in the format of the platform's discovery: an object with targets, or a list."
+        ),
     ],
     prune: Annotated[bool, typer.Option(help="Remove the endpoints that the file does not contain.")] = False,
     operator_file: OPERATOR_FILE = None,
     overrides: KEY_OVERRIDES = None,
     as_json: JSON = False,
 ) -> None:
-    """Import an endpoint list into etcd: the entries that differ, up to a hundred changes in a transaction."""
+    """Import an endpoint list into etcd: writes the entries that differ, up to 100 changes in a transaction."""
     rows = _read_import_rows(file)
-    hidden = as_json or not sys.stderr.isatty()
+    hide_progress = as_json or not sys.stderr.isatty()
 
     async def import_rows(directory: EtcdDirectory, _: LoadedOperatorConfig) -> ImportResult:
-        return await _import_with_progress(directory, rows, prune, hidden)
+        return await _import_with_progress(directory, rows, prune, hide_progress)
 
     result = _run_on_directory(operator_file, overrides, import_rows)
     if as_json:
--- a/kestreltrack/cli/emulate.py
+++ b/kestreltrack/cli/emulate.py
@@ -15,11 +15,13 @@
     from kestreltrack.testing.emulator.scenario import Scenario
 
 SEED = Annotated[int, typer.Option(min=0, help="Seed of the random numbers.")]
-SETS = Annotated[
+SCENARIO_OVERRIDES = Annotated[
     list[str] | None,
-    typer.Option("--set", metavar="KEY=VALUE", help="Override a key of the scenario, as load.level=0.9."),
+    typer.Option(
+        "--set", metavar="KEY=VALUE", help="Override a key of the scenario, such as load.level=0.9."
+    ),
 ]
-# Violations that are printed of a run; `--json` gives all.
+# Only the first violations of a run are printed; `--json` writes all.
 MAX_VIOLATIONS_SHOWN = 10
 
 
@@ -27,7 +29,7 @@
     """Return the values of the `--set` options by key; a value that is not JSON is text.
 
     Raises:
-        typer.Exit: With code 2 where an option is not KEY=VALUE.
+        typer.Exit: With code 2 if an option is not KEY=VALUE.
     """
     values = dict[str, Any]()
     for text in overrides or []:
@@ -42,7 +44,7 @@
 
 
 def print_result(result: RunResult, title: str, as_json: bool) -> None:
-    """Print the result of a run, and the first rules that it violated."""
+    """Print the result of a run, and its first rule violations."""
     if as_json:
         print_json(result.as_dict())
         return
@@ -51,7 +53,7 @@
 
 
 def print_violations(result: RunResult) -> None:
-    """Print the first rules that a run violated."""
+    """Print the first rule violations of a run."""
     for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
         print(f"rule violated at {violation.at / 1000.0:.3f} s: {violation.rule}: {violation.text}")
 
@@ -62,7 +64,7 @@
     """Draw a scenario from the seed, and compare the decision module with a baseline that tries only once.
 
     Raises:
-        typer.Exit: With code 1 where the module violates a rule.
+        typer.Exit: With code 1 if the module violates a rule.
     """
     from kestreltrack.testing.emulator.random_scenario import draw_scenario
     from kestreltrack.testing.emulator.result import compare
@@ -73,14 +75,14 @@
         print_json({"deployment": msgspec.to_builtins(scenario), **comparison.as_dict()})
     else:
         headers = ["name", "module", "one attempt", "capacity alone"]
-        print_table(headers, comparison.table_rows(), f"{scenario.name}: {_summary(scenario)}")
+        print_table(headers, comparison.table_rows(), f"{scenario.name}: {_load_summary(scenario)}")
         print_violations(comparison.policy)
     if comparison.policy.violations:
         raise typer.Exit(1)
 
 
-def _summary(scenario: Scenario) -> str:
-    # A drawn scenario has one level of load for the whole run, never a list.
+def _load_summary(scenario: Scenario) -> str:
+    # A drawn scenario has a single load level for the whole run, never a list of levels.
     rate = scenario.load.full * float(scenario.load.level)  # type: ignore[arg-type]
     return f"{scenario.fleet.senders} senders, {scenario.partners} destinations, {rate:.0f} messages/s"
 
@@ -90,19 +92,19 @@
         str | None, typer.Argument(help="The name of a scenario of the library, or a TOML file.")
     ] = None,
     seed: SEED = 1,
-    overrides: SETS = None,
+    overrides: SCENARIO_OVERRIDES = None,
     capture: Annotated[
         Path | None, typer.Option(help="Capture each sender in a subfolder of this folder.")
     ] = None,
     deployment: Annotated[
         str | None,
         typer.Option(
-            help="drawn: draw a deployment and a short scenario by the seed; compares with one attempt per message."
+            help="drawn: draw a deployment and a short scenario from the seed; compares with one attempt per message."
         ),
     ] = None,
     length: Annotated[
         float | None,
-        typer.Option(min=1.0, help="Length of a drawn scenario in seconds; default: drawn, 20 to 40."),
+        typer.Option(min=1.0, help="Length of a drawn scenario in seconds; default: random, 20 to 40."),
     ] = None,
     as_json: JSON = False,
 ) -> None:
--- a/kestreltrack/cli/explain.py
+++ b/kestreltrack/cli/explain.py
@@ -1,4 +1,4 @@
-"""`kestreltrack explain`: why a message waited and how it ended, or what a destination went through."""
+"""`kestreltrack explain`: why a message waited and how it ended, or what happened to a destination."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 CAPTURE_FILE = Annotated[
     Path, typer.Argument(metavar="FILE", help="A capture file, or the folder of a capture.")
 ]
-# Waits below this are left out: their sum in ms would be shown as 0.
+# Shorter waits are omitted: rounded to milliseconds they would be shown as 0.
 MIN_WAIT_SHOWN_MS = 0.5
 
 
 def explain_command(
-    place: CAPTURE_FILE,
+    capture_path: CAPTURE_FILE,
     message: Annotated[
         str | None, typer.Argument(metavar="ID", help="The id of the message; or use --dest.")
     ] = None,
     dest: Annotated[
-        int | None, typer.Option("--dest", help="The number of a destination, in place of a message.")
+        int | None, typer.Option("--dest", help="The number of a destination, instead of a message.")
     ] = None,
     since: SINCE = None,
     until: UNTIL = None,
     key_file: Annotated[
         Path | None,
         typer.Option(
-            help="The key with which the capture was anonymised: finds a message by its original id."
+            help="File with the key that the capture was anonymised with: finds a message by its original id."
         ),
     ] = None,
     as_json: JSON = False,
 ) -> None:
-    """Explain what happened to a message, and why, or what a destination went through.
+    """Explain what happened to a message, and why, or what happened to a destination.
 
-    Exits with 1 where the capture has nothing of it, or where the present decision code differs from the capture.
+    Exits with 1 if the capture contains nothing about it, or if the present decision code differs from the capture.
     """
     if (message is None) == (dest is None):
         raise usage_error("explain: expected the ID of a message, or --dest and a number")
-    capture = open_capture([place])
+    capture = open_capture([capture_path])
     with exit_on_capture_error():
         if message is not None and key_file is not None:
             message = Pseudonyms(read_key_file(key_file)).message_id(message)
@@ -93,9 +93,9 @@
 
 
 def _print_message_heading(capture: CaptureFiles, timeline: message_timeline.MessageTimeline) -> None:
-    earlier = f", {timeline.attempts_before} attempts before" if timeline.attempts_before else ""
-    print(f"{timeline.id} for destination {timeline.dest}, class {timeline.cls}{earlier}")
-    arrival = "was queued already when the capture begins, at" if timeline.queued_before else "arrived"
+    previous_attempts = f", {timeline.attempts_before} attempts before" if timeline.attempts_before else ""
+    print(f"{timeline.id} for destination {timeline.dest}, class {timeline.cls}{previous_attempts}")
+    arrival = "was already queued when the capture began, at" if timeline.queued_before else "arrived"
     objective_ms = timeline.latency_objective_at - timeline.arrived
     deadline_ms = timeline.expires - timeline.arrived
     print(
@@ -128,7 +128,7 @@
 def _print_state_changes(capture: CaptureFiles, timeline: destination_timeline.DestinationTimeline) -> None:
     rows = [
         [
-            # Cut from microseconds to milliseconds.
+            # Truncated from microseconds to milliseconds.
             f"{capture.wall_time(change.clock):%H:%M:%S.%f}"[:-3],
             change.endpoint or "all",
             change.state,
--- a/kestreltrack/cli/fake.py
+++ b/kestreltrack/cli/fake.py
@@ -22,22 +22,22 @@
 @app.command()
 def etcd(
     listen: Annotated[
-        str, typer.Option(help="host:port on loopback; with port 0 the system chooses one.")
+        str, typer.Option(help="host:port on loopback; port 0 selects a free port.")
     ] = "127.0.0.1:0",
-    members: Annotated[int, typer.Option(min=1, max=5, help="Members of the cluster.")] = 1,
+    members: Annotated[int, typer.Option(min=1, max=5, help="Number of members of the cluster.")] = 1,
     user: Annotated[
-        list[str] | None, typer.Option(help="NAME:PASSWORD; with it, all calls need a token.")
+        list[str] | None, typer.Option(help="NAME:PASSWORD; if given, all calls need a token.")
     ] = None,
     tls_cert: Annotated[Path | None, typer.Option(help="The members' TLS certificate.")] = None,
     tls_key: Annotated[Path | None, typer.Option(help="The private key of the certificate.")] = None,
     tls_client_ca: Annotated[
-        Path | None, typer.Option(help="The CA of client certificates; with it, clients need one.")
+        Path | None, typer.Option(help="The CA of client certificates; if given, clients need a certificate.")
     ] = None,
 ) -> None:
-    """Run a fake of etcd's v3 API; prints one JSON line with its addresses when it is ready.
+    """Run a fake of etcd's v3 API; prints one JSON line with its members' addresses when it is ready.
 
-    Faults are injected by JSON lines on standard input, such as {"member": 0, "fault": "cut"}; the process ends at
-    the end of its input.
+    Faults are injected by JSON lines on standard input, such as {"member": 0, "fault": "cut"}; the process exits
+    when its input ends.
     """
     from kestreltrack.testing.fakes.etcd.process import serve
 
@@ -55,14 +55,14 @@
         raise typer.Exit(130) from None
 
 
-def _parse_users(texts: list[str]) -> dict[str, str]:
+def _parse_users(options: list[str]) -> dict[str, str]:
     """Return the passwords by name.
 
     Raises:
-        typer.Exit: With code 2 where an option is not NAME:PASSWORD, or a name is given twice.
+        typer.Exit: With code 2 if an option is not NAME:PASSWORD, or a name is given twice.
     """
-    users = dict(text.split(":", 1) for text in texts if ":" in text)
-    if len(users) < len(texts):
+    users = dict(option.split(":", 1) for option in options if ":" in option)
+    if len(users) < len(options):
         raise usage_error("--user: expected NAME:PASSWORD")
     return users
 
@@ -71,7 +71,7 @@
     """Return the members' TLS context, or None without a certificate.
 
     Raises:
-        OSError: Where a file cannot be used.
+        OSError: If a file cannot be used.
     """
     from kestreltrack.testing.fakes.etcd.process import server_tls
 
--- a/kestreltrack/cli/fleet.py
+++ b/kestreltrack/cli/fleet.py
@@ -18,10 +18,10 @@
 )
 
 app = typer.Typer(help="The fleet as a running sender sees it.", no_args_is_help=True)
-agreed = typer.Typer(help="The replicated configuration of the fleet.", no_args_is_help=True)
-app.add_typer(agreed, name="agreed")
+replicated_config_app = typer.Typer(help="The replicated configuration of the fleet.", no_args_is_help=True)
+app.add_typer(replicated_config_app, name="agreed")
 
-# The columns of `fleet members`, which are keys of the response.
+# The columns of `fleet members`; each is a key of the response.
 MEMBER_COLUMNS = [
     "name",
     "standing",
@@ -47,7 +47,7 @@
     overrides: KEY_OVERRIDES = None,
     as_json: JSON = False,
 ) -> None:
-    """List the members: alive, suspected, failed or left, and since when."""
+    """List the members with their state (alive, suspected, failed or left) and the time since it last changed."""
     response = query_sender("fleet.members", socket, operator_file, overrides)
     if as_json:
         print_json(response)
@@ -65,10 +65,10 @@
     sender = response.get("me", "a sender that has not joined yet")
     if response.get("caught_up"):
         return f"as {sender} sees it, synchronised"
-    return f"as {sender} sees it, not synchronised yet: it makes no decision by this"
+    return f"as {sender} sees it, not synchronised yet: its decisions do not use this view"
 
 
-@agreed.command()
+@replicated_config_app.command()
 def show(
     socket: SOCKET = None,
     operator_file: OPERATOR_FILE = None,
@@ -79,7 +79,7 @@
     _print_response(query_sender("fleet.agreed.show", socket, operator_file, overrides), as_json)
 
 
-@agreed.command()
+@replicated_config_app.command()
 def propose(
     file: Path,
     socket: SOCKET = None,
--- a/kestreltrack/cli/replay.py
+++ b/kestreltrack/cli/replay.py
@@ -14,8 +14,9 @@
 from kestreltrack.cli.capture_options import FILES, SINCE, UNTIL, exit_on_capture_error, open_capture
 from kestreltrack.cli.common import JSON, ProgressBar, print_json, print_table
 
-# Differences that are printed of a comparison, and of each the events that precede it; `--json` gives all.
+# Only the first differences of a comparison are printed; `--json` writes all.
 MAX_DIFFERENCES_SHOWN = 5
+# Of each difference, only the last events before it are printed.
 MAX_EVENTS_SHOWN = 3
 
 
@@ -32,9 +33,9 @@
     ] = None,
     as_json: JSON = False,
 ) -> None:
-    """Replay a capture with the present decision code and compare each answer.
+    """Replay a capture with the present decision code and compare each of its answers with the captured one.
 
-    Ends at the first difference, with exit code 1.
+    Stops at the first difference, with exit code 1.
     """
     capture = open_capture(files)
     with exit_on_capture_error():
@@ -50,7 +51,7 @@
     """Replay and print the result.
 
     Raises:
-        typer.Exit: With code 1 where an answer differs, or none could be compared.
+        typer.Exit: With code 1 if an answer differs, or none could be compared.
     """
     with ProgressBar(capture.clock_span(), "replaying") as bar:
         result = replay(capture.files, since, until, speed, lambda step: bar.advance_to(step.record.clock))
@@ -126,7 +127,7 @@
     """Compare the present decision code with another version, and print how their decisions differ.
 
     Raises:
-        typer.Exit: With code 1 where a decision differs, or none could be compared.
+        typer.Exit: With code 1 if a decision differs, or none could be compared.
     """
     with ProgressBar(capture.clock_span(), "comparing") as bar:
         comparison = compare_files(
--- a/kestreltrack/cli/scenario.py
+++ b/kestreltrack/cli/scenario.py
@@ -13,7 +13,7 @@
 import typer
 
 from kestreltrack.cli.common import JSON, print_json, usage_error
-from kestreltrack.cli.emulate import SEED, SETS, parse_overrides, print_result
+from kestreltrack.cli.emulate import SCENARIO_OVERRIDES, SEED, parse_overrides, print_result
 
 if TYPE_CHECKING:
     from kestreltrack.testing.emulator.result import RunResult
@@ -23,8 +23,8 @@
     str, typer.Argument(help="The name of a scenario of the emulator's library, or a TOML file.")
 ]
 SENDERS = Annotated[int, typer.Option(min=1, max=64, help="Number of senders.")]
-# Of temporary folders.
-FOLDER_PREFIX = "kestreltrack-lab-"
+# Prefix of the names of temporary folders.
+TEMPORARY_FOLDER_PREFIX = "kestreltrack-lab-"
 app = typer.Typer(help="Run scenarios with real senders.", no_args_is_help=True)
 
 
@@ -35,20 +35,20 @@
     scenario: SCENARIO,
     senders: SENDERS = 3,
     seed: SEED = 1,
-    overrides: SETS = None,
+    overrides: SCENARIO_OVERRIDES = None,
     keep: Annotated[Path | None, typer.Option(help="Keep files, logs and captures in this folder.")] = None,
     as_json: JSON = False,
 ) -> None:
     """Run a scenario in real time, with real senders on loopback and the emulator's destinations and clients.
 
-    Prints what `emulate` prints.  A run that violates a rule exits with 1 and keeps its folder, with the command that
-    runs it again.
+    Prints the same result as `emulate`.  A run that violates a rule exits with 1 and keeps its folder, which contains
+    the command to rerun it.
     """
     from kestreltrack.testing.emulator.result import run_scenario
     from kestreltrack.testing.emulator.scenario import InvalidScenarioError
     from kestreltrack.testing.scenario_runner.process_run import process_runner
 
-    folder = keep or Path(tempfile.mkdtemp(prefix=FOLDER_PREFIX))
+    folder = keep or Path(tempfile.mkdtemp(prefix=TEMPORARY_FOLDER_PREFIX))
     folder.mkdir(parents=True, exist_ok=True)
     try:
         loaded = _load_with_senders(scenario, senders, overrides)
@@ -65,10 +65,10 @@
 
 
 def _load_with_senders(scenario: str, senders: int, overrides: list[str] | None) -> Scenario:
-    """Load a scenario with that many senders.
+    """Load a scenario with the given number of senders.
 
     Raises:
-        InvalidScenarioError: Where it does not exist, or an override does not fit.
+        InvalidScenarioError: If it does not exist, or an override does not fit.
     """
     from kestreltrack.testing.emulator.scenario import load_scenario
 
@@ -84,10 +84,10 @@
 
 
 def _rerun_command(scenario: str, senders: int, seed: int, overrides: list[str]) -> str:
-    words = ["kestreltrack", "scenario", "run", scenario, "--senders", str(senders), "--seed", str(seed)]
+    arguments = ["kestreltrack", "scenario", "run", scenario, "--senders", str(senders), "--seed", str(seed)]
     for override in overrides:
-        words += ["--set", override]
-    return shlex.join(words)
+        arguments += ["--set", override]
+    return shlex.join(arguments)
 
 
 @app.command("shrink")
@@ -95,15 +95,15 @@
     scenario: SCENARIO,
     senders: SENDERS = 3,
     seed: SEED = 1,
-    overrides: SETS = None,
+    overrides: SCENARIO_OVERRIDES = None,
     rule: Annotated[str, typer.Option(help="Only violations of this rule count; default: any.")] = "",
     emulated: Annotated[
         bool, typer.Option("--emulate", help="Run in simulated time instead of with processes.")
     ] = False,
 ) -> None:
-    """Remove faults from a scenario one by one while a rule is still violated; prints the smallest one's command.
+    """Remove faults from a scenario one by one while a rule is still violated; prints the command that reruns it.
 
-    Exits with 1 if no rule is violated to begin with.
+    Exits with 1 if the complete scenario violates no rule.
     """
     from kestreltrack.testing.emulator.scenario import InvalidScenarioError
     from kestreltrack.testing.scenario_runner.shrink import set_options, shrink
@@ -124,39 +124,39 @@
 
 
 def _violates_rule(scenario: Scenario, seed: int, rule: str, emulated: bool) -> bool:
-    """Run a scenario and return whether it violates the rule, or any for an empty name."""
+    """Run a scenario and return whether it violates the rule, or any rule if the name is empty."""
     from kestreltrack.testing.emulator.result import run_scenario
     from kestreltrack.testing.emulator.simulation import emulate
     from kestreltrack.testing.scenario_runner.process_run import process_runner
 
-    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as folder:
+    with tempfile.TemporaryDirectory(prefix=TEMPORARY_FOLDER_PREFIX) as folder:
         result = run_scenario(scenario, seed, runner=emulate if emulated else process_runner(Path(folder)))
     return any(not rule or violation.rule == rule for violation in result.violations)
 
 
 @app.command("soak")
 def soak_command(
-    seed: Annotated[int | None, typer.Option(help="Play this seed.")] = None,
-    seeds: Annotated[
-        int, typer.Option(min=1, help="Without --seed: play the seeds from 1 to this one.")
-    ] = 50,
+    seed: Annotated[int | None, typer.Option(help="Run this seed.")] = None,
+    seeds: Annotated[int, typer.Option(min=1, help="Without --seed: run the seeds from 1 to this one.")] = 50,
     seconds: Annotated[float, typer.Option(min=4.0, max=600.0, help="Duration of the load.")] = 20.0,
-    senders: Annotated[int | None, typer.Option(min=1, max=5, help="Default: drawn, 1 to 5.")] = None,
-    at_once: Annotated[int, typer.Option(min=1, max=16, help="Seeds played at once.")] = 3,
-    without: Annotated[list[int] | None, typer.Option(help="Leave out the fault of this number.")] = None,
+    senders: Annotated[
+        int | None, typer.Option(min=1, max=5, help="Number of senders; default: random, 1 to 5.")
+    ] = None,
+    at_once: Annotated[int, typer.Option(min=1, max=16, help="Number of seeds run in parallel.")] = 3,
+    without: Annotated[list[int] | None, typer.Option(help="Omit the fault with this number.")] = None,
     log: Annotated[
-        Path | None, typer.Option(help="Keep the senders' logs and states in this folder.")
+        Path | None, typer.Option(help="Keep the senders' logs and state files in this folder.")
     ] = None,
     as_json: JSON = False,
 ) -> None:
-    """Play drawn faults on real senders and judge what crossed the sockets; exits with 1 if a rule is violated."""
+    """Inject random faults into real senders and check their network traffic; exits with 1 if a rule is violated."""
     from kestreltrack.testing.soak.plan import draw_plan
     from kestreltrack.testing.soak.report import play_many, play_seed, replay_command
 
     if seed is None:
         raise typer.Exit(asyncio.run(play_many(list(range(1, seeds + 1)), seconds, at_once, log)))
     plan = draw_plan(seed, seconds, senders, frozenset(without or []))
-    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as folder:
+    with tempfile.TemporaryDirectory(prefix=TEMPORARY_FOLDER_PREFIX) as folder:
         result = play_seed(plan, log or Path(folder))
     if as_json:
         print_json(msgspec.to_builtins(result))
