--- a/kestreltrack/simulator/__init__.py
+++ b/kestreltrack/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: codec (`wire.py`) and host of many instances (`host.py`)."""
+"""Adapter of the decision module to the simulator: line codec (`wire.py`) and host of many instances (`host.py`)."""
--- a/kestreltrack/simulator/__main__.py
+++ b/kestreltrack/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Run as ``python -m kestreltrack.simulator``: the host on the standard streams."""
+"""Run as ``python -m kestreltrack.simulator``: runs the host on the standard streams."""
 
 import sys
 
--- a/kestreltrack/simulator/wire.py
+++ b/kestreltrack/simulator/wire.py
@@ -1,6 +1,6 @@
-"""Codec of the wire: lines to events, actions to lines.
+"""Codec of the simulator's protocol: parses lines into events and formats actions as lines.
 
-Translation only; nothing is decided here.
+It only translates; all decisions are made by the decision module.
 """
 
 from __future__ import annotations
@@ -40,22 +40,27 @@
     "CANCELLED": Outcome.CANCELLED,
     "TOO_LATE": Outcome.NOT_SENT,
 }
+# These fields come last in a line; their value may contain spaces and extends to the end of the line.
 TEXT_FIELDS = (" settings=", " msg=")
 
 Fields = dict[str, str]
 
 
 class WireError(Exception):
-    """The input is not of the wire; the text says what was wrong."""
+    """The input does not conform to the protocol; the message says why."""
 
 
 def parse_line(line: str) -> tuple[str, Fields]:
-    """Split one line into its name and its fields; a text field runs to the end of the line."""
-    text: tuple[str, str] | None = None
-    for mark in TEXT_FIELDS:
-        head, found, tail = line.partition(mark)
-        if found:
-            line, text = head, (mark[1:-1], tail)
+    """Split a line into the name of its message and its fields.
+
+    Raises:
+        WireError: If a field is not name=value.
+    """
+    text_field: tuple[str, str] | None = None
+    for prefix in TEXT_FIELDS:
+        head, separator, text = line.partition(prefix)
+        if separator:
+            line, text_field = head, (prefix[1:-1], text)
     name, *parts = line.split(" ")
     fields: Fields = {}
     for part in parts:
@@ -63,20 +68,28 @@
         if not key or not equals:
             raise WireError(f"{name}: {part!r} is not name=value")
         fields[key] = value
-    if text:
-        fields[text[0]] = text[1]
+    if text_field:
+        fields[text_field[0]] = text_field[1]
     return name, fields
 
 
 def require_field(name: str, fields: Fields, key: str) -> str:
-    """A field that the message cannot do without."""
+    """Return the value of a required field.
+
+    Raises:
+        WireError: If it is missing.
+    """
     if key not in fields:
         raise WireError(f"{name}: field {key} is missing")
     return fields[key]
 
 
 def number_field(name: str, fields: Fields, key: str, default: float | None = None) -> float:
-    """A numeric field; without a default it is required."""
+    """Return the value of a numeric field; it is required if there is no default.
+
+    Raises:
+        WireError: If it is missing or not a finite number.
+    """
     text = require_field(name, fields, key) if default is None else fields.get(key, str(default))
     try:
         value = float(text)
@@ -88,7 +101,11 @@
 
 
 def parse_entry(fields: Fields) -> EndpointEntry:
-    """One ``ITEM`` of a list."""
+    """Return the entry of an ``ITEM`` line.
+
+    Raises:
+        WireError: If a field is missing or invalid.
+    """
     state = require_field("ITEM", fields, "lifecycle")
     try:
         lifecycle = EndpointLifecycle(state)
@@ -110,7 +127,11 @@
     endpoint_lists: Mapping[int, Sequence[EndpointEntry]],
     report_fields: Sequence[str],
 ) -> Event | None:
-    """The event that a line stands for; ``None`` for one that this library has no use for."""
+    """Return the event of a line, or None if the decision module does not use such messages.
+
+    Raises:
+        WireError: If the message is unknown, or a field is missing or invalid.
+    """
     if name == "INBOUND":
         return MessageArrived(
             id=require_field(name, fields, "corr"),
@@ -132,11 +153,11 @@
             return DiscoveryFailed()
         if kind not in ("changes", "all", "remembered"):
             raise WireError(f"TOPOLOGY: unknown kind {kind!r}")
-        sheet = int(number_field(name, fields, "sheet"))
-        if sheet not in endpoint_lists:
-            raise WireError(f"TOPOLOGY: no list {sheet} was defined")
+        list_number = int(number_field(name, fields, "sheet"))
+        if list_number not in endpoint_lists:
+            raise WireError(f"TOPOLOGY: no list {list_number} was defined")
         return EndpointsUpdated(
-            endpoint_lists[sheet], complete=kind != "changes", cached=kind == "remembered"
+            endpoint_lists[list_number], complete=kind != "changes", cached=kind == "remembered"
         )
     if name in ("HEAD_RECEIVED", "PING_RESULT", "NOTE_FROM"):
         return None
@@ -167,28 +188,36 @@
 
 
 def parse_settings_text(text: str) -> Any:
-    """The settings text of a start, decoded."""
+    """Decode the settings of a ``POWER_ON`` message.
+
+    Raises:
+        ValueError: If they are not JSON.
+    """
     try:
         return json.loads(text)
-    except json.JSONDecodeError as bad:
-        raise ValueError(f"settings is not JSON: {bad}") from None
+    except json.JSONDecodeError as error:
+        raise ValueError(f"settings is not JSON: {error}") from None
 
 
 def format_action(sender_id: str, action: Action) -> str:
-    """The line for an action of one instance."""
-    at = f"relayId={sender_id}"
+    """Return the line for an action of one instance.
+
+    Raises:
+        TypeError: If it is not an action.
+    """
+    relay = f"relayId={sender_id}"
     if isinstance(action, StartAttempt):
-        return f"RELAY {at} corr={action.id} endpoint={action.endpoint} timeoutMs={action.timeout_ms:.3f}"
+        return f"RELAY {relay} corr={action.id} endpoint={action.endpoint} timeoutMs={action.timeout_ms:.3f}"
     if isinstance(action, CancelAttempt):
-        return f"DROP_ATTEMPT {at} corr={action.id} go={action.attempt}"
+        return f"DROP_ATTEMPT {relay} corr={action.id} go={action.attempt}"
     if isinstance(action, RejectMessage):
-        return f"TURN_AWAY {at} corr={action.id} waitMs={action.retry_after_ms:.3f}"
+        return f"TURN_AWAY {relay} corr={action.id} waitMs={action.retry_after_ms:.3f}"
     if isinstance(action, FailMessage):
-        return f"REPORT_FAILURE {at} corr={action.id}"
+        return f"REPORT_FAILURE {relay} corr={action.id}"
     if isinstance(action, SetTimer):
-        return f"SET_ALARM {at} sleepForMs={action.delay_ms:.3f} nonce={action.token}"
+        return f"SET_ALARM {relay} sleepForMs={action.delay_ms:.3f} nonce={action.token}"
     if isinstance(action, CloseIdleConnections):
-        return f"FREE_LINKS {at} endpoint={action.endpoint}"
+        return f"FREE_LINKS {relay} endpoint={action.endpoint}"
     if isinstance(action, PollEndpointList):
-        return f"KEEP_INFORMED {at} want=1"
+        return f"KEEP_INFORMED {relay} want=1"
     raise TypeError(f"not an action: {action!r}")
