--- a/tests/processes.py
+++ b/tests/processes.py
@@ -25,9 +25,9 @@
     "test_resource_exhaustion": "a sender that is short of descriptors",
     "test_scenarios": "a sender among partners; each step waits for what it expects",
     "test_scenarios_discovery": "a sender and the source of its endpoint list",
+    "test_simulator": "the simulator's adapter as a process",
     "test_sites": "the builder of sites",
     "test_soak::test_a_short_seed_keeps_all_rules": "senders among faults drawn from a seed",
-    "test_wire": "the simulator's wire",
 }
 EXCLUSIVE = {
     "test_replicated_config_processes": "several senders that vote, with faults between them",
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The commands as processes: exit codes, JSON, the fake of etcd, and independent clients of it."""
+"""Runs the commands as processes: exit codes, JSON output, the fake of etcd and independent clients of it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def run(
     *arguments: str, env: dict[str, str] | None = None, text: str | None = None
 ) -> subprocess.CompletedProcess[str]:
-    """Run a command to its end, with `text` on its standard input."""
+    """Run a command until it exits, with `text` on its standard input."""
     command = [sys.executable, "-m", "kestreltrack", *arguments]
     return subprocess.run(
         command, cwd=ROOT, env=ENV | (env or {}), capture_output=True, text=True, input=text, timeout=60
@@ -41,7 +41,7 @@
 
 @contextmanager
 def fake_etcd(*arguments: str) -> Iterator[tuple[list[str], Any]]:
-    """Run the fake of etcd by its former name; the addresses of its members, and its process."""
+    """Run the fake of etcd under its former command name; yields its members' addresses and its process."""
     command = [sys.executable, "-m", "kestreltrack", "standin", "etcd", *arguments]
     process = subprocess.Popen(
         command, cwd=ROOT, env=ENV, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True, bufsize=1
@@ -56,16 +56,16 @@
 
 
 def send_command(process: Any, **command: Any) -> dict[str, Any]:
-    """Send a command to the fake and return its answer."""
+    """Send a command to the fake and return its response."""
     process.stdin.write(json.dumps(command) + "\n")
-    answer: dict[str, Any] = json.loads(process.stdout.readline())
-    return answer
+    response: dict[str, Any] = json.loads(process.stdout.readline())
+    return response
 
 
 @pytest.mark.parametrize(
     "arguments", [["nonsense"], ["run", "--nonsense"], ["run", "--set", "x"], ["directory"]]
 )
-def test_a_usage_error_exits_with_2_and_a_text(arguments: list[str]) -> None:
+def test_a_usage_error_exits_with_2_and_a_message(arguments: list[str]) -> None:
     result = run(*arguments)
     assert result.returncode == 2
     assert result.stderr or result.stdout
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("client", ["aetcd", "grpcio"])
-def test_an_independent_client_finds_the_fake_to_behave_as_etcd(client: str) -> None:
+def test_an_independent_etcd_client_works_with_the_fake(client: str) -> None:
     with fake_etcd() as (members, _):
         result = subprocess.run(
             [sys.executable, str(ROOT / f"tests/{client}_compatibility_check.py"), members[0]],
@@ -114,7 +114,7 @@
         assert result.returncode == 0, result.stderr
 
 
-def test_the_fake_of_etcd_carries_out_commands_and_ends_cleanly() -> None:
+def test_the_fake_of_etcd_handles_fault_commands_and_exits_cleanly() -> None:
     with fake_etcd("--members", "3") as (members, process):
         assert len(set(members)) == 3
         assert send_command(process, fault="cut", member=1)["done"] == "cut"
@@ -124,10 +124,10 @@
         process.send_signal(signal.SIGINT)
         assert process.wait(20) in (0, 130)
     assert run("fake", "etcd", "--listen", "0.0.0.0:0").returncode == 2
-    assert run("standin", "etcd", "--listen", "0.0.0.0:0").returncode == 2, "the former name"
+    assert run("standin", "etcd", "--listen", "0.0.0.0:0").returncode == 2, "the former command name"
 
 
-def test_operators_commands_change_the_directory(tmp_path: Path) -> None:
+def test_directory_commands_change_the_directory(tmp_path: Path) -> None:
     with fake_etcd("--user", "op:s3cret") as (members, _):
         env = {
             MEMBERS_VARIABLE: members[0],
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's script and result where a command fails; the demo itself is played by test_capture."""
+"""The demo's script and result when a command fails; test_capture and test_cli run the complete demo."""
 
 from __future__ import annotations
 
@@ -12,30 +12,29 @@
 from kestreltrack.testing.demo.script import DemoScript
 from kestreltrack.testing.fakes.load_generator import LoadGenerator
 
-SECONDS = 0.05
+DURATION_S = 0.05
 
 
-@pytest.mark.parametrize("failing", ["drain", "undrain", ""])
-def test_a_command_that_fails_is_told_by_the_result(failing: str, tmp_path: Path) -> None:
-    """A demo one of whose commands fails plays on, and says so in its result.
+@pytest.mark.parametrize("failing_command", ["drain", "undrain", ""])
+def test_a_failed_directory_command_is_reported_in_the_result(failing_command: str, tmp_path: Path) -> None:
+    """The demo continues after a failed command and reports the failure in its result.
 
-    It ended with an IndexError at the return of the first drained endpoint where that drain had failed: there was no
-    first one.
+    If the drain failed, returning the first drained endpoint to service raised an IndexError: the list was empty.
     """
 
     class Script(DemoScript):
         async def run_command(self, *arguments: str) -> dict[str, Any] | None:
-            if arguments[0] == failing:
+            if arguments[0] == failing_command:
                 self.failures.append(f"directory {arguments[0]}: refused")
                 return None
             return {"revision": self.environment.publish_endpoint(self.environment.endpoints[0])}
 
-    async def play() -> None:
+    async def run_script() -> None:
         environment = DemoEnvironment(tmp_path)
         environment.load_generator = LoadGenerator("127.0.0.1:1", 1)
         script = Script(environment, lambda text: None)
-        await script.run(SECONDS)
+        await script.run(DURATION_S)
         (drains,) = [row for row in script.summary_rows() if row.key == "drains"]
-        assert drains.passed == (not failing) == (not script.failures)
+        assert drains.passed == (not failing_command) == (not script.failures)
 
-    asyncio.run(play())
+    asyncio.run(run_script())
--- a/tests/test_wire.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter: malformed input, faults of the module, restarts, and the same bytes under any hash seed."""
+"""The simulator adapter: malformed input, exceptions of the decision module, restarts, and deterministic output."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from kestreltrack.simulator.host import Host
 
 ROOT = Path(__file__).parent.parent
-TABLE: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "allowed": {
         "cancel": True,
         "connectTimeoutMs": 1500.0,
@@ -61,10 +61,10 @@
 }
 
 
-def start(relay: str, now: float = 0.0, table: dict[str, Any] = TABLE) -> str:
-    """A batch that starts an instance with two endpoints of destination 1."""
+def start_batch(relay: str, now: float = 0.0, settings: dict[str, Any] = SETTINGS) -> str:
+    """Return a batch that starts an instance with two endpoints of destination 1."""
     return (
-        f"SYNC timeMs={now}\nPOWER_ON relayId={relay} rngSeed=7 settings={json.dumps(table)}\n"
+        f"SYNC timeMs={now}\nPOWER_ON relayId={relay} rngSeed=7 settings={json.dumps(settings)}\n"
         "DEFINE_LIST sheet=0 membersList=2\n"
         "ITEM endpoint=10.0.0.1:1 site=z flavor=k dest=1 lifecycle=up nominal=9\n"
         "ITEM endpoint=10.0.0.2:1 site=z flavor=k dest=1 lifecycle=up nominal=9\n"
@@ -73,24 +73,24 @@
 
 
 def batch(now: float, *lines: str) -> str:
-    """One batch."""
+    """Return a batch of these lines."""
     return "\n".join((f"SYNC timeMs={now}", *lines, "EOB", ""))
 
 
 def inbound(relay: str, corr: str, now: float = 0.0) -> str:
-    """One arrival."""
+    """Return the line of an arriving message."""
     return f"INBOUND relayId={relay} corr={corr} expiresMs={now + 9000} item=5 farEnd=1 category=c"
 
 
-def host(text: str) -> str:
-    """What the host answers."""
-    out = io.StringIO()
-    Host(io.StringIO(text), out).run()
-    return out.getvalue()
+def run_host(text: str) -> str:
+    """Run a host in this process and return its output."""
+    output = io.StringIO()
+    Host(io.StringIO(text), output).run()
+    return output.getvalue()
 
 
-def process(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """The adapter as it is started in service."""
+def run_process(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
+    """Run the adapter as a process, as the simulator does."""
     return subprocess.run(
         [sys.executable, "-m", "kestreltrack.simulator"],
         input=text,
@@ -102,9 +102,9 @@
     )
 
 
-def test_a_message_is_sent_answered_and_over() -> None:
-    out = host(
-        start("relay/0")
+def test_a_message_is_attempted_and_completed() -> None:
+    output = run_host(
+        start_batch("relay/0")
         + batch(5, inbound("relay/0", "aa"))
         + batch(
             9,
@@ -112,20 +112,20 @@
             " serverStats=0.5,9",
         )
     )
-    replies = out.split("DONE\n")
+    replies = output.split("DONE\n")
     assert "KEEP_INFORMED relayId=relay/0 want=1" in replies[0]
-    ways = [f"RELAY relayId=relay/0 corr=aa endpoint=10.0.0.{n}:1 timeoutMs=8845.000" for n in (1, 2)]
-    assert sum(way in replies[1] for way in ways) == 1
+    attempts = [f"RELAY relayId=relay/0 corr=aa endpoint=10.0.0.{n}:1 timeoutMs=8845.000" for n in (1, 2)]
+    assert sum(attempt in replies[1] for attempt in attempts) == 1
     assert "aa" not in replies[2]
 
 
-def test_an_empty_batch_and_the_end_of_input() -> None:
-    done = process("SYNC timeMs=1.5\nEOB\n\n")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "DONE\n", "")
+def test_an_empty_batch_gets_a_reply_and_the_end_of_input_exits_with_0() -> None:
+    result = run_process("SYNC timeMs=1.5\nEOB\n\n")
+    assert (result.returncode, result.stdout, result.stderr) == (0, "DONE\n", "")
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "error_line"),
     [
         ("HELLO\n", "line 1: a batch begins with SYNC, not 'HELLO'"),
         ("SYNC timeMs=x\nEOB\n", "line 1: SYNC: field timeMs is not a number: 'x'"),
@@ -133,32 +133,32 @@
         ("SYNC timeMs=1\n", "line 1: the input ended inside a batch"),
         (batch(1, "INBOUND corr=a"), "line 2: INBOUND: field relayId is missing"),
         (batch(1, "NOISE junk"), "line 2: NOISE: 'junk' is not name=value"),
-        (start("relay/0") + batch(1, "BOO relayId=relay/0"), "line 9: unknown message 'BOO'"),
+        (start_batch("relay/0") + batch(1, "BOO relayId=relay/0"), "line 9: unknown message 'BOO'"),
         (
-            start("relay/0") + batch(1, "TOPOLOGY relayId=relay/0 epoch=1 sheet=9 kind=all"),
+            start_batch("relay/0") + batch(1, "TOPOLOGY relayId=relay/0 epoch=1 sheet=9 kind=all"),
             "line 9: TOPOLOGY: no list 9 was defined",
         ),
     ],
 )
-def test_malformed_input_gets_one_plain_line(text: str, said: str) -> None:
-    done = process(text)
-    assert done.returncode != 0
-    assert done.stderr.strip() == said
+def test_malformed_input_ends_the_process_with_one_line(text: str, error_line: str) -> None:
+    result = run_process(text)
+    assert result.returncode != 0
+    assert result.stderr.strip() == error_line
 
 
-def test_a_fault_of_the_module_crashes_that_instance_alone() -> None:
-    out = host(
-        start("relay/0")
-        + start("relay/1", 1)
+def test_an_exception_of_the_decision_module_crashes_only_that_instance() -> None:
+    output = run_host(
+        start_batch("relay/0")
+        + start_batch("relay/1", 1)
         + batch(
             2,
             "INBOUND relayId=relay/0 corr=aa expiresMs=9000 farEnd=1 category=nonsense",
             inbound("relay/1", "bb"),
         )
     )
-    last = out.split("DONE\n")[2]
-    assert "CRASH relayId=relay/0 msg=KeyError: 'nonsense'" in last
-    assert "RELAY relayId=relay/1 corr=bb" in last
+    last_reply = output.split("DONE\n")[2]
+    assert "CRASH relayId=relay/0 msg=KeyError: 'nonsense'" in last_reply
+    assert "RELAY relayId=relay/1 corr=bb" in last_reply
 
 
 @pytest.mark.parametrize(
@@ -174,37 +174,39 @@
         ("balancers", 0),
     ],
 )
-def test_missing_or_absurd_settings_name_the_setting(path: str, value: object) -> None:
-    table = json.loads(json.dumps(TABLE))
-    part, _, last = path.rpartition(".")
-    (table[part] if part else table)[last] = value
+def test_the_error_for_a_missing_or_invalid_setting_names_it(path: str, value: object) -> None:
+    settings = json.loads(json.dumps(SETTINGS))
+    section, _, key = path.rpartition(".")
+    (settings[section] if section else settings)[key] = value
     with pytest.raises(ValueError, match="setting "):
-        parse_settings(table)
-    assert "CRASH relayId=relay/0 msg=ValueError: setting" in host(start("relay/0", table=table))
+        parse_settings(settings)
+    assert "CRASH relayId=relay/0 msg=ValueError: setting" in run_host(
+        start_batch("relay/0", settings=settings)
+    )
 
 
-def test_a_stop_voids_the_batch_and_a_start_may_follow_in_it() -> None:
-    out = host(
-        start("relay/0")
+def test_an_exit_discards_the_events_of_the_batch_and_a_restart_may_follow_in_it() -> None:
+    output = run_host(
+        start_batch("relay/0")
         + batch(1, inbound("relay/0", "aa"))
         + batch(
             2,
             inbound("relay/0", "bb"),
             "EXIT relayId=relay/0",
-            f"POWER_ON relayId=relay/0 rngSeed=8 settings={json.dumps(TABLE)}",
+            f"POWER_ON relayId=relay/0 rngSeed=8 settings={json.dumps(SETTINGS)}",
             "TOPOLOGY relayId=relay/0 epoch=1 sheet=0 kind=remembered",
             inbound("relay/0", "cc"),
         )
         + batch(3, "DEADLINE_HIT relayId=relay/9 nonce=1")
     )
-    last = out.split("DONE\n")[2]
-    assert "corr=cc" in last and "corr=bb" not in last and "corr=aa" not in last
-    assert out.endswith("DONE\nDONE\n")
+    last_reply = output.split("DONE\n")[2]
+    assert "corr=cc" in last_reply and "corr=bb" not in last_reply and "corr=aa" not in last_reply
+    assert output.endswith("DONE\nDONE\n")
 
 
-def script(relays: list[str]) -> str:
-    """A day in small: arrivals, refusals, silence and answers for the relays named."""
-    text = "".join(start(r) for r in relays)
+def batches_for(relays: list[str]) -> str:
+    """Return batches that start the relays, send each 59 messages, withdraw every third and expire timers."""
+    text = "".join(start_batch(r) for r in relays)
     for step in range(1, 60):
         now = 100.0 * step
         lines = []
@@ -217,12 +219,12 @@
     return text
 
 
-def test_the_same_bytes_under_any_hash_seed_and_split_over_processes() -> None:
+def test_output_is_identical_under_any_hash_seed_and_when_split_over_processes() -> None:
     relays = ["relay/0", "relay/1", "relay/2"]
-    together = {process(script(relays), seed).stdout for seed in ("0", "1", "4242")}
-    assert len(together) == 1
-    lines = together.pop().splitlines()
+    outputs = {run_process(batches_for(relays), seed).stdout for seed in ("0", "1", "4242")}
+    assert len(outputs) == 1
+    lines = outputs.pop().splitlines()
     for relay in relays:
-        alone = process(script([relay])).stdout.splitlines()
-        mine = [line for line in lines if f"relayId={relay} " in line]
-        assert mine and mine == [line for line in alone if line != "DONE"]
+        separate_run = run_process(batches_for([relay])).stdout.splitlines()
+        in_common_run = [line for line in lines if f"relayId={relay} " in line]
+        assert in_common_run and in_common_run == [line for line in separate_run if line != "DONE"]
