--- a/kestreltrack/cli/scenario.py
+++ b/kestreltrack/cli/scenario.py
@@ -151,13 +151,13 @@
 ) -> None:
     """Play drawn faults on real senders and judge what crossed the sockets; exits with 1 if a rule is violated."""
     from kestreltrack.testing.soak.plan import draw_plan
-    from kestreltrack.testing.soak.report import play_many, play_seed, replay_command
+    from kestreltrack.testing.soak.report import replay_command, run_seed, run_seeds
 
     if seed is None:
-        raise typer.Exit(asyncio.run(play_many(list(range(1, seeds + 1)), seconds, at_once, log)))
+        raise typer.Exit(asyncio.run(run_seeds(list(range(1, seeds + 1)), seconds, at_once, log)))
     plan = draw_plan(seed, seconds, senders, frozenset(without or []))
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as folder:
-        result = play_seed(plan, log or Path(folder))
+        result = run_seed(plan, log or Path(folder))
     if as_json:
         print_json(msgspec.to_builtins(result))
     else:
--- a/kestreltrack/testing/__init__.py
+++ b/kestreltrack/testing/__init__.py
@@ -1,1 +1,1 @@
-"""What never runs in a sender: the emulator, stand-ins, the demonstration and the rig."""
+"""Code that never runs in a sender: the emulator, fakes, the demo, the soak test and the test harness."""
--- a/kestreltrack/testing/soak/__init__.py
+++ b/kestreltrack/testing/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A seeded soak of real senders: drawn settings, load and faults, judged by what crossed the sockets.
+"""Soak test of real senders with random settings, load and faults; checks only what crosses the sockets.
 
-`plan` draws a run from its seed, `player` plays it, `clients`, `fakes` and `processes` are the world and the senders,
-and write down what they see (`observations`); `judge` holds that against the rules, and `report` tells the result.
-The judge never sees the state of a sender.
+`plan` generates a run from its seed and `runner` executes it.  `clients`, `fakes` and `processes` provide the
+environment and the senders, and record what they see as `observations`.  `rule_checks` checks the observations
+against the rules, without access to the state of a sender, and `report` prints the result.
 """
--- a/kestreltrack/testing/soak/clients.py
+++ b/kestreltrack/testing/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of one sender, which write down each request and its answer as they see it."""
+"""Clients of one sender that record each request and its answer."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SoakClients:
-    """Keeps connections, opens more when all are busy, and hands in each message once."""
+    """Reuses idle connections, opens more when all are busy, and submits each message once."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
         rng: random.Random,
         record: Callable[[Submission], None],
     ) -> None:
-        """Pass each submission to `record` before it is sent; `address` returns where the sender listens."""
+        """Pass each submission to `record` before it is sent; `address` returns the listen address of the sender."""
         self.sender = sender
         self.on_accepted: Callable[[], None] | None = None
-        """Called once, right behind the next `+OK`."""
+        """Called once, immediately after the next `+OK`."""
         self._address = address
         self._plan = plan
         self._random = rng
@@ -46,7 +46,7 @@
         self._deadline_ms = plan.settings["classes"][0]["deadlineMs"]
 
     async def run(self) -> None:
-        """Hand in the load of the plan: a Poisson process with a burst, after a quiet time."""
+        """Submit the load of the plan: a Poisson process with one burst, after an initial period without load."""
         plan = self._plan
         started_at = time.monotonic()
         due_s = [plan.burst_at_s] * (plan.burst_size // plan.senders)
@@ -60,15 +60,15 @@
             task.add_done_callback(self._tasks.discard)
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _next(self) -> tuple[Submission, bytes]:
+    def _next_submission(self) -> tuple[Submission, bytes]:
         self._count += 1
-        row = self._random.choice(self._plan.settings["classes"])
+        message_class = self._random.choice(self._plan.settings["classes"])
         dest = self._random.randint(1, self._plan.destinations)
         message_id = f"{self.sender}x{self._count:06x}"
         now = time.monotonic()
         expires = now + self._deadline_ms / 1000.0
-        submission = Submission(message_id, self.sender, Effect(row["idempotency"]), now, expires)
-        return submission, self._command(message_id, row["name"], dest)
+        submission = Submission(message_id, self.sender, Effect(message_class["idempotency"]), now, expires)
+        return submission, self._command(message_id, message_class["name"], dest)
 
     def _command(self, message_id: str, name: str, dest: int) -> bytes:
         key = f",k=k{message_id}" if name == "keyed" else ""
@@ -76,12 +76,12 @@
         return encode_command("SUBMIT", "0" * 16, message_id, headers, BODY)
 
     async def _submit(self) -> None:
-        submission, command = self._next()
+        submission, command = self._next_submission()
         self._record(submission)
-        kept = self._idle.pop() if self._idle else None
-        if kept and await self._exchange(submission, command, kept):
+        idle = self._idle.pop() if self._idle else None
+        if idle and await self._exchange(submission, command, idle):
             return
-        # The close of a kept connection may have crossed the request: it is sent once more on a new one.
+        # The sender may have closed the idle connection before it read the request: resend on a new connection.
         with suppress(OSError):
             await self._exchange(submission, command, await self._open())
 
@@ -90,7 +90,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def _exchange(self, submission: Submission, command: bytes, connection: Connection) -> bool:
-        """Return whether the exchange is over: answered, or given up after 400 ms."""
+        """Return whether the exchange is over: answered, or timed out after `ANSWER_TIMEOUT_S`."""
         reader, writer = connection
         try:
             writer.write(command)
@@ -115,7 +115,7 @@
         return True
 
     async def flood(self, count: int) -> None:
-        """Send much at once on some connections and leave, every second time by a reset."""
+        """Send many requests at once on each of `count` connections and disconnect, every second one with a reset."""
         for number in range(count):
             with suppress(OSError):
                 _, writer = await self._open()
@@ -127,7 +127,7 @@
                 writer.close()
 
     async def crowd(self, count: int, seconds: float, data: bytes = b"") -> None:
-        """Open connections that stay and send nothing more than `data`."""
+        """Open connections that send only `data` and stay open."""
         opened = list[Connection]()
         for _ in range(count):
             with suppress(OSError):
@@ -138,7 +138,7 @@
             writer.close()
 
     async def bad_commands(self, count: int) -> None:
-        """Send what is no command."""
+        """Send malformed commands."""
         for _ in range(count):
             with suppress(OSError, TimeoutError):
                 reader, writer = await self._open()
--- a/kestreltrack/testing/soak/fakes.py
+++ b/kestreltrack/testing/soak/fakes.py
@@ -1,4 +1,4 @@
-"""Endpoints and platforms that write down what crosses their sockets."""
+"""Fake endpoints and platforms that record what crosses their sockets."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 )
 from kestreltrack.testing.fakes.http import HttpRequest, http_answer, read_http
 from kestreltrack.testing.fakes.platform import FakePlatform
-from kestreltrack.testing.soak.observations import NEVER, Call, Notice
+from kestreltrack.testing.soak.observations import NEVER, Call, Notification
 
 RETRY_AFTER_HEADER = b"Retry-After: "
 
 
 class ObservedEndpoint(FakeEndpoint):
-    """An endpoint that records each call, its response and whether its caller was there to read it."""
+    """A fake endpoint that records each call, its response and whether its caller was still connected."""
 
     def __init__(
         self, uid: str, destination: FakeDestination, rng: random.Random, record: Callable[[Call], None]
     ) -> None:
-        """Pass each message of each call to `record` as it arrives; how it ended is set later."""
+        """Pass each message of each call to `record` on arrival; the end of the call is filled in later."""
         super().__init__(uid, destination, rng)
         self._record = record
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve the calls of one connection, one after the other."""
+        """Serve the calls of one connection in sequence."""
         while True:
             request = await read_http(reader)
             items = read_items(request)
@@ -56,24 +56,24 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Answer a call, and execute it also where its caller leaves meanwhile; return whether to go on."""
+        """Answer a call and return whether to continue; the call executes even if its caller disconnects."""
         is_batch = is_batch_call(request)
-        # Nothing but its end is to be read of a connection that carries a call.
-        leaving = asyncio.create_task(reader.read(1))
-        responding = asyncio.create_task(self._respond(items, is_batch))
+        # During a call the sender sends nothing, so a completed read means that it disconnected.
+        disconnect = asyncio.create_task(reader.read(1))
+        response_task = asyncio.create_task(self._respond(items, is_batch))
         try:
-            await asyncio.wait({leaving, responding}, return_when=asyncio.FIRST_COMPLETED)
-            if leaving.done():
-                self._end(calls, b"")
-                await responding
+            await asyncio.wait({disconnect, response_task}, return_when=asyncio.FIRST_COMPLETED)
+            if disconnect.done():
+                self._record_end(calls, b"")
+                await response_task
                 return False
-            await _cancelled(leaving)
-            return await self._answer(await responding, is_batch, calls, reader, writer)
+            await _cancel_and_wait(disconnect)
+            return await self._answer(await response_task, is_batch, calls, reader, writer)
         except OSError:
-            self._end(calls, b"")
+            self._record_end(calls, b"")
             return False
         finally:
-            await _cancelled(leaving)
+            await _cancel_and_wait(disconnect)
 
     async def _answer(
         self,
@@ -83,25 +83,25 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        written = self._written(response)
-        # Protocol page: delivered once a first line with 200 is written; several in one call, once all of it is.
-        told = written == response if is_batch else b"\r\n" in written
-        if written and told and not (writer.is_closing() or reader.at_eof()):
-            self._end(calls, written)
+        written = self._written_part(response)
+        # Protocol page: a message is delivered once a status line with 200 is written, a batch once all of it is.
+        delivered = written == response if is_batch else b"\r\n" in written
+        if written and delivered and not (writer.is_closing() or reader.at_eof()):
+            self._record_end(calls, written)
         try:
             return await self._write_response(response, reader, writer)
         finally:
-            self._end(calls, b"")
+            self._record_end(calls, b"")
 
-    def _written(self, response: bytes) -> bytes:
-        """Return what of a response is written under the present fault."""
+    def _written_part(self, response: bytes) -> bytes:
+        """Return the part of a response that the current fault lets through."""
         fault = self.destination.fault
         if fault.stall:
             return response[:-1]
         return fault.corrupt(response) if response and fault.corrupt else response
 
-    def _end(self, calls: list[Call], response: bytes) -> None:
-        """Set how calls ended, unless that is set already."""
+    def _record_end(self, calls: list[Call], response: bytes) -> None:
+        """Record the end of calls that have not ended yet."""
         status = response[9:12].decode()
         wait = response.partition(RETRY_AFTER_HEADER)[2].partition(b"\r\n")[0]
         for call in calls:
@@ -111,24 +111,24 @@
                 call.retry_after_s = float(wait or 0.0)
 
     def reset_connections(self) -> None:
-        """Abort all connections, also those that carry a call."""
+        """Abort all connections, including those with a call in progress."""
         for writer in list(self._open):
             writer.transport.abort()
 
 
-async def _cancelled(task: asyncio.Task[bytes]) -> None:
-    """Return once a task has ended: the next read of its connection may begin only then."""
+async def _cancel_and_wait(task: asyncio.Task[bytes]) -> None:
+    """Cancel a task and wait for its end, since a stream allows only one read at a time."""
     task.cancel()
     await asyncio.wait({task})
     if not task.cancelled():
-        task.exception()  # seen: the caller has left by a reset
+        task.exception()  # marks the exception of a connection reset as retrieved
 
 
 class ObservedPlatform(FakePlatform):
-    """The platform of one sender, which may fall silent as discovery does; reports are always answered."""
+    """The platform of one sender; its discovery can be made unavailable, its notifications are always answered."""
 
-    def __init__(self, record: Callable[[Notice], None], indented: bool, pushed: bool) -> None:
-        """Pass each notice to `record`."""
+    def __init__(self, record: Callable[[Notification], None], indented: bool, pushed: bool) -> None:
+        """Pass each notification to `record`."""
         super().__init__()
         self.available = asyncio.Event()
         self.available.set()
@@ -138,14 +138,14 @@
         self.on_notification = self._observe
 
     def _observe(self, row: dict[str, Any]) -> None:
-        self._record(Notice(row["message"], row["outcome"], time.monotonic()))
+        self._record(Notification(row["message"], row["outcome"], time.monotonic()))
 
     async def _respond(self, request_line: str, body: bytes) -> bytes:
         if request_line.startswith("POST") or self.available.is_set():
             return await super()._respond(request_line, body)
         if not self._pushed:
             return http_answer("503")
-        await self.available.wait()  # an agent is silent while discovery is down
+        await self.available.wait()  # a discovery agent does not answer while discovery is down
         return await super()._respond(request_line, body)
 
     def _list_response(self, complete: bool, rows: list[dict[str, Any]]) -> bytes:
--- a/kestreltrack/testing/soak/observations.py
+++ b/kestreltrack/testing/soak/observations.py
@@ -1,4 +1,4 @@
-"""What is seen of a run from outside the senders; all times are of `time.monotonic`, in seconds."""
+"""What is observed of a run from outside the senders; all times are from `time.monotonic`, in seconds."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Effect(StrEnum):
-    """What repeating a message of a class does, by the names of the settings."""
+    """The effect of repeating a message of a class, named as in the settings."""
 
     IDEMPOTENT = "idempotent"
-    KEYED = "deduplicated"
-    NOT_IDEMPOTENT = "at_most_once"
+    DEDUPLICATED = "deduplicated"
+    AT_MOST_ONCE = "at_most_once"
 
 
 @dataclass(slots=True)
 class Submission:
-    """One message that a client handed in."""
+    """One message that a client submitted."""
 
     message_id: str
     sender: str
@@ -26,34 +26,34 @@
     submitted_at: float
     expires: float
     answer: str = ""
-    """The first word of the answer; empty where none came."""
+    """The first word of the answer; empty without an answer."""
     answered_at: float = NEVER
     closed_unanswered_at: float = NEVER
-    """When the sender closed the connection that carried it without an answer."""
+    """When the sender closed the connection of the request without answering."""
 
     @property
     def accepted(self) -> bool:
-        """Whether the sender owes it an end."""
+        """Whether the sender accepted the message and so must complete it."""
         return self.answer == "+OK"
 
 
 @dataclass(slots=True)
 class Call:
-    """One message of one call that an endpoint received in full."""
+    """One message of a call that an endpoint received completely."""
 
     message_id: str
     dest: int
     endpoint: str
     arrived_at: float
     status: str = ""
-    """Of the response, where it was written to a caller that was there; else empty."""
+    """The status of the response; empty if the caller had disconnected before it was written."""
     ended_at: float = NEVER
-    """When the response was written, or the caller was seen to have left."""
+    """When the response was written or the disconnect of the caller was detected."""
     retry_after_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Notice:
+class Notification:
     """One status notification that the platform received."""
 
     message_id: str
@@ -62,8 +62,8 @@
 
 
 @dataclass(slots=True)
-class Life:
-    """One process of a sender."""
+class ProcessRecord:
+    """One process of a sender, from its start to its exit."""
 
     sender: str
     started_at: float
@@ -75,25 +75,25 @@
     exit_code: int | None = None
 
     @property
-    def end_began_at(self) -> float:
-        """When its end was asked for."""
+    def end_requested_at(self) -> float:
+        """When the first SIGTERM or SIGKILL was sent."""
         return min(self.terminated_at, self.killed_at)
 
 
 @dataclass(slots=True)
 class Drain:
-    """One endpoint that drained, as one sender was told."""
+    """The draining of one endpoint, as announced to one sender."""
 
     endpoint: str
     sender: str
-    told_at: float
-    over_at: float = NEVER
+    announced_at: float
+    ended_at: float = NEVER
     """When the endpoint was published as up again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceSample:
-    """Memory and descriptors of a process at one time."""
+    """Memory and open descriptors of a process at one time."""
 
     sender: str
     memory_mb: float
@@ -102,25 +102,25 @@
 
 @dataclass(slots=True)
 class Observations:
-    """All that was seen of one run."""
+    """Everything observed in one run."""
 
     submissions: dict[str, Submission] = field(default_factory=dict)
     calls: list[Call] = field(default_factory=list)
-    notices: list[Notice] = field(default_factory=list)
-    unanswered_notices: set[str] = field(default_factory=set)
-    """Messages of reports that the platform answered too late for their poster."""
+    notifications: list[Notification] = field(default_factory=list)
+    unanswered_notifications: set[str] = field(default_factory=set)
+    """Messages whose status notification was answered after the sender had disconnected."""
     execution_counts: dict[str, int] = field(default_factory=dict)
-    """How often each message took effect, repeats within its window left out."""
-    lives: list[Life] = field(default_factory=list)
+    """How often each message took effect, without repeats in its deduplication window."""
+    processes: list[ProcessRecord] = field(default_factory=list)
     drains: list[Drain] = field(default_factory=list)
     samples: list[ResourceSample] = field(default_factory=list)
     unreadable_log_lines: list[str] = field(default_factory=list)
     fault_events: list[str] = field(default_factory=list)
-    """Names of logged events that tell of a broken invariant or a fault of the program."""
+    """Names of logged events that report a violated invariant or an internal fault."""
     ended_at: float = NEVER
     observer_lag_s: float = 0.0
-    """How late the observer's own event loop ran at worst: its times may be off by so much."""
+    """Largest measured delay of the observer's event loop, and so the error of the recorded times."""
 
-    def lives_of(self, sender: str) -> list[Life]:
+    def processes_of(self, sender: str) -> list[ProcessRecord]:
         """Return the processes of a sender in order."""
-        return [life for life in self.lives if life.sender == sender]
+        return [process for process in self.processes if process.sender == sender]
--- a/kestreltrack/testing/soak/plan.py
+++ b/kestreltrack/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws a run of the soak from its seed: settings, senders, load and the schedule of faults."""
+"""Generates a soak run from its seed: settings, senders, load and the schedule of faults."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from kestreltrack.testing.demo.environment import SETTINGS
 
-MEMORY_MB = 192  # as `SenderProcess` writes the limits
+MEMORY_MB = 192  # the limits that `SenderProcess` configures
 DESCRIPTORS = 1024
 DRAIN_GRACE_MS = 500.0
 TENANT = "acme"
 
 
 class FaultKind(StrEnum):
-    """What happens to a sender, an endpoint, discovery or the clients."""
+    """A fault of a sender, an endpoint, discovery or the clients."""
 
-    STOP = "stop"  # SIGTERM once to three times, SIGKILL 3.7 s later, start 0.6 s after the end
-    KILL = "kill"  # SIGKILL, start 0.6 s later
-    KILL_AT_ACCEPT = "kill at accept"  # SIGKILL right behind the next +OK
-    KILL_TWICE = "kill twice"  # SIGKILL, and SIGKILL again in the start
-    STOP_IN_START = "stop in start"  # SIGKILL, and SIGTERM in the start
+    STOP = "stop"  # one to three SIGTERM, SIGKILL 3.7 s after the first, restart 0.6 s after the exit
+    KILL = "kill"  # SIGKILL, restart 0.6 s later
+    KILL_AT_ACCEPT = "kill at accept"  # SIGKILL immediately after the next +OK
+    KILL_TWICE = "kill twice"  # SIGKILL, and SIGKILL again during the restart
+    STOP_IN_START = "stop in start"  # SIGKILL, and SIGTERM during the restart
     RELOAD = "reload"  # SIGHUP in quick succession
     COUNTERS = "counters"  # SIGUSR1
     HOLD_UP = "hold up"  # SIGSTOP and SIGCONT
@@ -32,13 +32,13 @@
     CORRUPT = "corrupt"
     STALL = "stall"
     SLOW = "slow"
-    RESET = "reset"  # all connections of an endpoint
+    RESET = "reset"  # resets all connections of an endpoint
     LOWER_LIMIT = "lower limit"
     DRAIN = "drain"
     DISCOVERY_SILENT = "discovery silent"
-    FLOOD = "flood"  # clients that send much at once and leave
-    CROWD = "crowd"  # idle clients
-    HALF_COMMANDS = "half commands"  # clients that stop in the middle and stay
+    FLOOD = "flood"  # clients that send many requests at once and disconnect
+    CROWD = "crowd"  # many idle clients
+    HALF_COMMANDS = "half commands"  # clients that send a partial command and stay connected
     BAD_COMMANDS = "bad commands"
 
 
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: `target` is the number of a sender, a destination or an endpoint, as the kind has it."""
+    """One fault; `target` is the index of a sender or of a destination, depending on the kind."""
 
     at_s: float
     kind: FaultKind
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """One run."""
+    """Everything that determines one run."""
 
     seed: int
     seconds: float
@@ -93,9 +93,9 @@
     endpoints_per_destination: int
     indented_lists: bool
     quiet_s: float
-    """Without load, at the begin."""
+    """Initial period without load."""
     rate: float
-    """Messages a second of each sender."""
+    """Messages per second for each sender."""
     burst_at_s: float
     burst_size: int
     faults: tuple[Fault, ...]
@@ -104,7 +104,7 @@
 def draw_plan(
     seed: int, seconds: float, senders: int | None = None, without: frozenset[int] = frozenset()
 ) -> SoakPlan:
-    """Return the run of a seed; `without` leaves out faults by their number, all else stays as it is."""
+    """Return the plan of a seed; `without` omits faults by number and changes nothing else."""
     rng = random.Random(f"soak {seed}")
     sender_count = rng.randint(1, 5)
     destinations = rng.randint(3, 6)
--- a/kestreltrack/testing/soak/processes.py
+++ b/kestreltrack/testing/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of one sender: each life with its signals and its end, one after the other."""
+"""The successive processes of one sender, with the signals sent to each and its exit."""
 
 from __future__ import annotations
 
@@ -10,91 +10,93 @@
 from typing import Any
 
 from kestreltrack.testing.harness.sender_process import SenderProcess
-from kestreltrack.testing.soak.judge import HOLD_UP_S, KILL_AFTER_S
-from kestreltrack.testing.soak.observations import Life, Observations, ResourceSample
+from kestreltrack.testing.soak.observations import Observations, ProcessRecord, ResourceSample
 from kestreltrack.testing.soak.plan import Fault, FaultKind
+from kestreltrack.testing.soak.rule_checks import KILL_AFTER_S, MAX_PAUSE_S
 
-# The protocol page: the next start comes so long after SIGKILL.
+# Protocol page: delay from SIGKILL to the next start.
 RESTART_AFTER_S = 0.6
 SIGNAL_GAP_S = 0.05
-FAULT_WORDS = ("invariant.", "decision.fault", "delivery.fault", "loop.fault")
+FAULT_EVENT_PREFIXES = ("invariant.", "decision.fault", "delivery.fault", "loop.fault")
 POLL_S = 0.01
 
 
 class SoakSender(SenderProcess):
-    """A sender whose lives are written down."""
+    """A sender that records each of its processes."""
 
     def __init__(
-        self, folder: Path, name: str, platform: str, settings: dict[str, Any], seen: Observations
+        self, folder: Path, name: str, platform: str, settings: dict[str, Any], observations: Observations
     ) -> None:
-        """Start nothing yet; the log of all lives is kept in the folder."""
+        """Start nothing yet; the log of all processes is kept in the folder."""
         folder.mkdir(parents=True, exist_ok=True)
         super().__init__(folder, name, folder / "log")
-        self.seen = seen
+        self.observations = observations
         self._platform = platform
         self._settings = settings
-        self.life = Life(name, time.monotonic())
-        self._lifecycle = asyncio.Lock()
+        self.process_record = ProcessRecord(name, time.monotonic())
+        self._restart_lock = asyncio.Lock()
         self._starting: asyncio.Task[None] | None = None
 
     def _on_log_record(self, row: dict[str, Any]) -> None:
         super()._on_log_record(row)
         event = str(row["event"])
         if event == "ready":
-            self.life.ready_at = time.monotonic()
+            self.process_record.ready_at = time.monotonic()
         elif event == "unreadable":
-            self.seen.unreadable_log_lines.append(str(row["line"]))
-        counted = [name for name, value in row.items() if value and event == "counters"]
-        self.seen.fault_events += [name for name in (event, *counted) if name.startswith(FAULT_WORDS)]
-
-    async def begin(self) -> None:
-        """Start the next process, and return once it runs."""
-        before = self.process
-        self.life = Life(self.name, time.monotonic())
-        self.seen.lives.append(self.life)
+            self.observations.unreadable_log_lines.append(str(row["line"]))
+        counters = [name for name, value in row.items() if value and event == "counters"]
+        self.observations.fault_events += [
+            name for name in (event, *counters) if name.startswith(FAULT_EVENT_PREFIXES)
+        ]
+
+    async def start_next(self) -> None:
+        """Start the next process and return once it exists, before it is ready."""
+        previous = self.process
+        self.process_record = ProcessRecord(self.name, time.monotonic())
+        self.observations.processes.append(self.process_record)
         self._starting = asyncio.create_task(self.start(self._platform, self._settings, {}))
-        while self.process is before:
+        while self.process is previous:
             await asyncio.sleep(POLL_S)
-        self._watching = asyncio.create_task(self._watch(self.process, self.life))
+        self._exit_watch = asyncio.create_task(self._watch_exit(self.process, self.process_record))
 
-    async def _watch(self, process: asyncio.subprocess.Process | None, life: Life) -> None:
+    async def _watch_exit(self, process: asyncio.subprocess.Process | None, record: ProcessRecord) -> None:
         assert process
-        life.exit_code = await process.wait()
-        life.ended_at = time.monotonic()
+        record.exit_code = await process.wait()
+        record.ended_at = time.monotonic()
 
     async def wait_ready(self) -> None:
-        """Return once the process is ready, or has ended before."""
+        """Wait until the process is ready, has exited or has failed to start."""
         if self._starting:
             with suppress(RuntimeError, TimeoutError):
                 await self._starting
 
     async def kill(self) -> None:
-        """SIGKILL, and the end of the process."""
-        self.life.killed_at = min(self.life.killed_at, time.monotonic())
+        """Send SIGKILL and wait for the exit of the process."""
+        self.process_record.killed_at = min(self.process_record.killed_at, time.monotonic())
         await self.signal(SIGKILL)
-        await self._end()
+        await self._wait_exit()
 
-    async def _end(self) -> None:
-        await self._watching
+    async def _wait_exit(self) -> None:
+        await self._exit_watch
         await self.wait_ready()
         if self._reader_task:
             await self._reader_task
 
     async def terminate(self, count: int = 1) -> None:
-        """SIGTERM so many times, and SIGKILL 3.7 s after the first; return at the end of the process."""
-        self.life.terminated_at = time.monotonic()
+        """Send SIGTERM `count` times, then SIGKILL `KILL_AFTER_S` after the first; wait for the exit."""
+        self.process_record.terminated_at = time.monotonic()
         for _ in range(count):
             await self.signal(SIGTERM)
             await asyncio.sleep(SIGNAL_GAP_S)
-        left_s = self.life.terminated_at + KILL_AFTER_S - time.monotonic()
-        await asyncio.wait({self._watching}, timeout=left_s)
-        if self._watching.done():
-            await self._end()
+        left_s = self.process_record.terminated_at + KILL_AFTER_S - time.monotonic()
+        await asyncio.wait({self._exit_watch}, timeout=left_s)
+        if self._exit_watch.done():
+            await self._wait_exit()
         else:
             await self.kill()
 
-    async def play(self, fault: Fault) -> None:
-        """Play a fault of the process; one that would end it does so after the one before."""
+    async def inject(self, fault: Fault) -> None:
+        """Inject a process fault; restarts of the same sender run one after the other."""
         match fault.kind:
             case FaultKind.RELOAD:
                 for _ in range(fault.count):
@@ -104,14 +106,14 @@
                 await self._signal_ready(SIGUSR1)
             case FaultKind.HOLD_UP:
                 await self._signal_ready(SIGSTOP)
-                await asyncio.sleep(min(fault.lasts_s, HOLD_UP_S))
+                await asyncio.sleep(min(fault.lasts_s, MAX_PAUSE_S))
                 await self.signal(SIGCONT)
             case _:
-                async with self._lifecycle:
+                async with self._restart_lock:
                     await self._restart(fault)
 
     async def _signal_ready(self, number: Any) -> None:
-        if self.life.ready_at < time.monotonic():
+        if self.process_record.ready_at < time.monotonic():
             await self.signal(number)
 
     async def _restart(self, fault: Fault) -> None:
@@ -120,20 +122,22 @@
         else:
             await self.kill()
         await asyncio.sleep(RESTART_AFTER_S)
-        await self.begin()
+        await self.start_next()
         if fault.kind in (FaultKind.KILL_TWICE, FaultKind.STOP_IN_START):
             await asyncio.sleep(fault.lasts_s)
             await (self.kill() if fault.kind is FaultKind.KILL_TWICE else self.terminate())
             await asyncio.sleep(RESTART_AFTER_S)
-            await self.begin()
+            await self.start_next()
         await self.wait_ready()
 
-    async def settled(self) -> None:
-        """Return once no restart is under way."""
-        async with self._lifecycle:
+    async def wait_settled(self) -> None:
+        """Wait until no restart is in progress."""
+        async with self._restart_lock:
             await self.wait_ready()
 
     def sample(self) -> None:
-        """Write down memory and descriptors of the process, while it runs."""
+        """Record memory and open descriptors of the process if it is running."""
         if self.process and self.process.returncode is None:
-            self.seen.samples.append(ResourceSample(self.name, self.memory_mb(), self.descriptor_count()))
+            self.observations.samples.append(
+                ResourceSample(self.name, self.memory_mb(), self.descriptor_count())
+            )
--- a/kestreltrack/testing/soak/report.py
+++ b/kestreltrack/testing/soak/report.py
@@ -1,4 +1,4 @@
-"""Plays the soak of one seed or of many, and tells the results."""
+"""Runs the soak test for one or many seeds and reports the results."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from kestreltrack.testing.soak.judge import Violation, judge
 from kestreltrack.testing.soak.observations import Observations
 from kestreltrack.testing.soak.plan import SoakPlan
-from kestreltrack.testing.soak.player import LIMITS, SoakPlayer
+from kestreltrack.testing.soak.rule_checks import Violation, find_violations
+from kestreltrack.testing.soak.runner import LIMITS, SoakRunner
 
-MAX_SHOWN = 5  # violations of a seed
+MAX_VIOLATIONS_SHOWN = 5
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """How the run of one seed ended."""
+    """The result of one seed."""
 
     seed: int
     seconds: float
@@ -36,50 +36,52 @@
     took_s: float = 0.0
 
 
-def play_seed(plan: SoakPlan, folder: Path) -> SoakResult:
-    """Play a plan and judge it; logs and states of the senders stay in the folder."""
-    seen = asyncio.run(SoakPlayer(plan, folder).play())
-    return _result(plan, seen)
+def run_seed(plan: SoakPlan, folder: Path) -> SoakResult:
+    """Run a plan and check its rules; logs and states of the senders stay in the folder."""
+    observations = asyncio.run(SoakRunner(plan, folder).run())
+    return _make_result(plan, observations)
 
 
-def _result(plan: SoakPlan, seen: Observations) -> SoakResult:
-    accepted = {row.message_id for row in seen.submissions.values() if row.accepted}
-    delivered = {call.message_id for call in seen.calls if call.status == "200"}
+def _make_result(plan: SoakPlan, observations: Observations) -> SoakResult:
+    accepted = {row.message_id for row in observations.submissions.values() if row.accepted}
+    delivered = {call.message_id for call in observations.calls if call.status == "200"}
     return SoakResult(
         plan.seed,
         plan.seconds,
         len(accepted),
         len(accepted & delivered),
-        len(seen.lives) - plan.senders,
+        len(observations.processes) - plan.senders,
         tuple(f"{number} {fault.kind}" for number, fault in enumerate(plan.faults)),
-        tuple(judge(seen, LIMITS)),
+        tuple(find_violations(observations, LIMITS)),
     )
 
 
 def replay_command(seed: int, seconds: float, senders: int | None, without: Iterable[int] = ()) -> str:
-    """Return the line that plays a seed again."""
-    words = [f"kestreltrack scenario soak --seed {seed} --seconds {seconds:g}"]
-    words += [f"--senders {senders}"] if senders else []
-    words += [f"--without {number}" for number in without]
-    return " ".join(words)
+    """Return the command line that repeats the run of a seed."""
+    arguments = [f"kestreltrack scenario soak --seed {seed} --seconds {seconds:g}"]
+    arguments += [f"--senders {senders}"] if senders else []
+    arguments += [f"--without {number}" for number in without]
+    return " ".join(arguments)
 
 
-async def play_many(seeds: list[int], seconds: float, at_once: int, log: Path | None) -> int:
-    """Play seeds as processes, several at once, with a progress bar; return 1 where one failed."""
+async def run_seeds(seeds: list[int], seconds: float, at_once: int, log: Path | None) -> int:
+    """Run each seed in its own process, `at_once` in parallel; return 1 if one failed, else 0."""
     console = Console(stderr=True)
     slots = asyncio.Semaphore(at_once)
     results = dict[int, SoakResult]()
     with Progress(console=console) as progress:
         bar = progress.add_task("soak", total=len(seeds))
 
-        async def play(seed: int) -> None:
+        async def run(seed: int) -> None:
             async with slots:
-                results[seed] = await _play_in_process(seed, seconds, log)
+                results[seed] = await _run_in_process(seed, seconds, log)
             progress.advance(bar)
-            broken = [f"{v.rule}: {v.detail}" for v in results[seed].violations[:MAX_SHOWN]]
-            progress.console.print(f"seed {seed}: {'; '.join(broken) or 'kept all rules'}", soft_wrap=True)
+            descriptions = [f"{v.rule}: {v.detail}" for v in results[seed].violations[:MAX_VIOLATIONS_SHOWN]]
+            progress.console.print(
+                f"seed {seed}: {'; '.join(descriptions) or 'no violations'}", soft_wrap=True
+            )
 
-        await asyncio.gather(*map(play, seeds))
+        await asyncio.gather(*map(run, seeds))
     failed = [seed for seed in seeds if results[seed].violations]
     table = Table("seed", "accepted", "delivered", "restarts", "violations", "seconds")
     for seed in seeds:
@@ -89,19 +91,19 @@
     Console().print(table)
     for seed in failed:
         print(replay_command(seed, seconds, None))
-    print(f"{len(seeds) - len(failed)} of {len(seeds)} seeds kept all rules")
+    print(f"{len(seeds) - len(failed)} of {len(seeds)} seeds without violations")
     return 1 if failed else 0
 
 
-async def _play_in_process(seed: int, seconds: float, log: Path | None) -> SoakResult:
-    words = ["scenario", "soak", "--seed", str(seed), "--seconds", f"{seconds:g}", "--json"]
-    words += ["--log", str(log / str(seed))] if log else []
-    began = time.monotonic()
+async def _run_in_process(seed: int, seconds: float, log: Path | None) -> SoakResult:
+    arguments = ["scenario", "soak", "--seed", str(seed), "--seconds", f"{seconds:g}", "--json"]
+    arguments += ["--log", str(log / str(seed))] if log else []
+    started_at = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "kestreltrack",
-        *words,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -110,6 +112,6 @@
         result = msgspec.json.decode(output, type=SoakResult)
     except msgspec.MsgspecError:
         text = errors.decode(errors="replace").strip().splitlines()[-1:]
-        violation = Violation("the soak itself", f"exit {process.returncode}: {text}")
+        violation = Violation("soak process", f"exit {process.returncode}: {text}")
         result = SoakResult(seed, seconds, 0, 0, 0, (), (violation,))
-    return replace(result, took_s=time.monotonic() - began)
+    return replace(result, took_s=time.monotonic() - started_at)
--- a/kestreltrack/testing/soak/player.py
+++ b/kestreltrack/testing/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays the run of a plan with real senders, and returns what was seen."""
+"""Executes a plan with real senders and returns the observations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,6 @@
 from kestreltrack.testing.fakes.destinations import FakeDestination, InjectedFault
 from kestreltrack.testing.soak.clients import HALF_COMMAND, SoakClients
 from kestreltrack.testing.soak.fakes import ObservedEndpoint, ObservedPlatform
-from kestreltrack.testing.soak.judge import RESTART_SLACK_S, Limits
 from kestreltrack.testing.soak.observations import NEVER, Drain, Observations
 from kestreltrack.testing.soak.plan import (
     CLIENT_FAULTS,
@@ -26,27 +25,27 @@
     SoakPlan,
 )
 from kestreltrack.testing.soak.processes import SoakSender
+from kestreltrack.testing.soak.rule_checks import RESTART_SLACK_S, Limits
 
 LIMITS = Limits(DRAIN_GRACE_MS / 1000.0, MEMORY_MB, DESCRIPTORS)
-# The protocol page: what discovery has to tell counts as told so long afterwards, whether it arrived or not.
-TOLD_AFTER_S = 6.0
+# Protocol page: a change in discovery counts as announced after this time, whether or not it arrived.
+ANNOUNCED_AFTER_S = 6.0
 LAG_SAMPLE_S = 0.01
 RESOURCE_SAMPLE_S = 0.25
 SETTLE_CHECK_S = 0.1
-# Calls a second of a destination whose limit is lowered, and the share of failures of one that fails.
 LOWERED_LIMIT_PER_S = 3.0
 FAILURE_RATE = 0.7
-SLOWDOWN = 20.0
+SLOWDOWN_FACTOR = 20.0
 SERVICE_TIMES_MS = (5.0, 30.0, 120.0)
 
 
-class SoakPlayer:
-    """One run: senders, clients, endpoints and platforms of a plan."""
+class SoakRunner:
+    """Runs the senders, clients, endpoints and platforms of one plan."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
-        """Create all parts; nothing listens before `play`."""
+        """Create all parts; nothing listens before `run`."""
         self.plan = plan
-        self.seen = Observations()
+        self.observations = Observations()
         self._random = random.Random(f"play {plan.seed}")
         self.destinations = [self._destination(dest) for dest in range(1, plan.destinations + 1)]
         self.endpoints = [
@@ -54,7 +53,7 @@
                 f"p{destination.dest}-{number}",
                 destination,
                 random.Random(f"{plan.seed} {destination.dest} {number}"),
-                self.seen.calls.append,
+                self.observations.calls.append,
             )
             for destination in self.destinations
             for number in range(plan.endpoints_per_destination)
@@ -62,7 +61,7 @@
         self.names = [f"s{number}" for number in range(plan.senders)]
         pushed = plan.settings["discovery"] == "push"
         self.platforms = {
-            name: ObservedPlatform(self.seen.notices.append, plan.indented_lists, pushed)
+            name: ObservedPlatform(self.observations.notifications.append, plan.indented_lists, pushed)
             for name in self.names
         }
         self.folder = folder
@@ -78,30 +77,32 @@
             deduplication_window_s=window_ms / 1000.0,
         )
 
-    async def play(self) -> Observations:
-        """Play the plan and return what was seen."""
+    async def run(self) -> Observations:
+        """Execute the plan and return the observations."""
         try:
             await self._start()
             self._spawn(self._measure_lag())
             self._spawn(self._sample_resources())
-            faults = [asyncio.create_task(self._play_at(fault)) for fault in self.plan.faults]
+            faults = [asyncio.create_task(self._inject_at(fault)) for fault in self.plan.faults]
             await asyncio.gather(*(clients.run() for clients in self.clients.values()), *faults)
-            await self._settle()
+            await self._wait_until_settled()
         finally:
             await self._stop()
-        return self.seen
+        return self.observations
 
     async def _start(self) -> None:
         for endpoint in self.endpoints:
             await endpoint.listen()
         for name, platform in self.platforms.items():
             await platform.listen()
-            platform.on_list_sent = partial(self._note_told, name)
+            platform.on_list_sent = partial(self._record_announced_drains, name)
             for endpoint in self.endpoints:
                 platform.publish(endpoint.discovery_row())
-            sender = SoakSender(self.folder / name, name, platform.address, self.plan.settings, self.seen)
+            sender = SoakSender(
+                self.folder / name, name, platform.address, self.plan.settings, self.observations
+            )
             self.senders[name] = sender
-            await sender.begin()
+            await sender.start_next()
         for name, sender in self.senders.items():
             await sender.wait_ready()
             self.clients[name] = SoakClients(
@@ -113,7 +114,7 @@
             )
 
     def _record_submission(self, submission: Any) -> None:
-        self.seen.submissions[submission.message_id] = submission
+        self.observations.submissions[submission.message_id] = submission
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.create_task(work)
@@ -121,10 +122,10 @@
 
     async def _measure_lag(self) -> None:
         while True:
-            began = time.monotonic()
+            started_at = time.monotonic()
             await asyncio.sleep(LAG_SAMPLE_S)
-            lag_s = time.monotonic() - began - LAG_SAMPLE_S
-            self.seen.observer_lag_s = max(self.seen.observer_lag_s, lag_s)
+            lag_s = time.monotonic() - started_at - LAG_SAMPLE_S
+            self.observations.observer_lag_s = max(self.observations.observer_lag_s, lag_s)
 
     async def _sample_resources(self) -> None:
         while True:
@@ -132,16 +133,16 @@
                 sender.sample()
             await asyncio.sleep(RESOURCE_SAMPLE_S)
 
-    async def _play_at(self, fault: Fault) -> None:
+    async def _inject_at(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s)
         if fault.kind in DESTINATION_FAULTS:
-            await self._play_destination_fault(fault)
+            await self._inject_destination_fault(fault)
         elif fault.kind in CLIENT_FAULTS:
-            await self._play_client_fault(fault)
+            await self._inject_client_fault(fault)
         elif fault.kind is FaultKind.KILL_AT_ACCEPT:
             await self._kill_at_accept(fault)
         else:
-            await self.senders[self.names[fault.target]].play(fault)
+            await self.senders[self.names[fault.target]].inject(fault)
 
     async def _kill_at_accept(self, fault: Fault) -> None:
         sender = self.senders[self.names[fault.target]]
@@ -150,7 +151,7 @@
 
         def kill() -> None:
             if sender.process and sender.process.returncode is None:
-                sender.life.killed_at = min(sender.life.killed_at, time.monotonic())
+                sender.process_record.killed_at = min(sender.process_record.killed_at, time.monotonic())
                 sender.process.kill()
             accepted.set()
 
@@ -161,9 +162,9 @@
         except TimeoutError:
             clients.on_accepted = None
             return
-        await sender.play(replace(fault, kind=FaultKind.KILL))
+        await sender.inject(replace(fault, kind=FaultKind.KILL))
 
-    async def _play_destination_fault(self, fault: Fault) -> None:
+    async def _inject_destination_fault(self, fault: Fault) -> None:
         destination = self.destinations[fault.target]
         endpoints = [endpoint for endpoint in self.endpoints if endpoint.destination is destination]
         endpoint = endpoints[self._random.randrange(len(endpoints))]
@@ -176,43 +177,45 @@
         if fault.kind is FaultKind.LOWER_LIMIT:
             destination.rate_limit = LOWERED_LIMIT_PER_S
         else:
-            destination.fault = _injected(fault.kind)
+            destination.fault = _fault_on_destination(fault.kind)
         await asyncio.sleep(fault.lasts_s)
         destination.rate_limit = 0.0
         destination.recover()
 
     async def _drain(self, endpoint: ObservedEndpoint, lasts_s: float) -> None:
-        if any(drain.endpoint == endpoint.uid and drain.over_at == NEVER for drain in self.seen.drains):
-            return  # it drains already, and would be let in again in the middle of this
+        if any(
+            drain.endpoint == endpoint.uid and drain.ended_at == NEVER for drain in self.observations.drains
+        ):
+            return  # already draining; the end of that drain would cut this one short
         published_at = time.monotonic()
         drains = [Drain(endpoint.uid, name, NEVER) for name in self.names]
-        self.seen.drains += drains
+        self.observations.drains += drains
         for platform in self.platforms.values():
             platform.publish(endpoint.discovery_row("draining"))
         await asyncio.sleep(lasts_s)
         for drain, platform in zip(drains, self.platforms.values(), strict=True):
-            drain.over_at = time.monotonic()
-            (*_, life) = self.seen.lives_of(drain.sender)
-            reachable = platform.available.is_set() and life.ready_at < published_at
-            if reachable and drain.told_at == NEVER:
-                drain.told_at = published_at + TOLD_AFTER_S
+            drain.ended_at = time.monotonic()
+            (*_, latest) = self.observations.processes_of(drain.sender)
+            reachable = platform.available.is_set() and latest.ready_at < published_at
+            if reachable and drain.announced_at == NEVER:
+                drain.announced_at = published_at + ANNOUNCED_AFTER_S
             platform.publish(endpoint.discovery_row())
 
-    def _note_told(self, sender: str, rows: list[dict[str, Any]]) -> None:
-        """Note the drains that a list which was written to a sender tells of."""
+    def _record_announced_drains(self, sender: str, rows: list[dict[str, Any]]) -> None:
+        """Record which drains a list that was written to a sender announces."""
         draining = {row["uid"] for row in rows if row["state"] == "draining"}
-        for drain in self.seen.drains:
-            if drain.sender == sender and drain.over_at == NEVER and drain.endpoint in draining:
-                drain.told_at = min(drain.told_at, time.monotonic())
+        for drain in self.observations.drains:
+            if drain.sender == sender and drain.ended_at == NEVER and drain.endpoint in draining:
+                drain.announced_at = min(drain.announced_at, time.monotonic())
 
-    async def _play_client_fault(self, fault: Fault) -> None:
+    async def _inject_client_fault(self, fault: Fault) -> None:
         name = self.names[fault.target]
         clients = self.clients[name]
         match fault.kind:
             case FaultKind.FLOOD:
                 await clients.flood(fault.count)
             case FaultKind.CROWD:
-                # Half of them over what the process may open; discovery is down meanwhile.
+                # About half of the drawn counts exceed the descriptor limit; discovery is unavailable meanwhile.
                 self.platforms[name].available.clear()
                 await clients.crowd(fault.count * DESCRIPTORS // 26, fault.lasts_s)
                 self.platforms[name].available.set()
@@ -227,39 +230,39 @@
                 for platform in self.platforms.values():
                     platform.available.set()
 
-    async def _settle(self) -> None:
-        """Wait until every message has its end, or the last one is due."""
+    async def _wait_until_settled(self) -> None:
+        """Wait until each accepted message has its final answer, or until the last one is overdue."""
         for sender in self.senders.values():
-            await sender.settled()
+            await sender.wait_settled()
         deadline_s = self.plan.settings["classes"][0]["deadlineMs"] / 1000.0
         until = time.monotonic() + deadline_s + 2.0 * RESTART_SLACK_S
-        while time.monotonic() < until and self._owed():
+        while time.monotonic() < until and self._has_pending_messages():
             await asyncio.sleep(SETTLE_CHECK_S)
-        self.seen.ended_at = time.monotonic()
+        self.observations.ended_at = time.monotonic()
 
-    def _owed(self) -> bool:
-        ended = {call.message_id for call in self.seen.calls if call.status == "200"}
-        ended |= {notice.message_id for notice in self.seen.notices}
-        submissions = self.seen.submissions.values()
+    def _has_pending_messages(self) -> bool:
+        ended = {call.message_id for call in self.observations.calls if call.status == "200"}
+        ended |= {notification.message_id for notification in self.observations.notifications}
+        submissions = self.observations.submissions.values()
         return any(row.accepted and row.message_id not in ended for row in submissions)
 
     async def _stop(self) -> None:
         for task in self._background:
             task.cancel()
-        self.seen.ended_at = min(self.seen.ended_at, time.monotonic())
+        self.observations.ended_at = min(self.observations.ended_at, time.monotonic())
         for clients in self.clients.values():
             clients.close()
         await asyncio.gather(*(sender.terminate() for sender in self.senders.values()))
         for endpoint in self.endpoints:
             endpoint.close()
         for platform in self.platforms.values():
-            self.seen.unanswered_notices |= platform.unanswered
+            self.observations.unanswered_notifications |= platform.unanswered
             platform.close()
         for destination in self.destinations:
-            self.seen.execution_counts.update(destination.execution_counts)
+            self.observations.execution_counts.update(destination.execution_counts)
 
 
-def _injected(kind: FaultKind) -> InjectedFault:
+def _fault_on_destination(kind: FaultKind) -> InjectedFault:
     match kind:
         case FaultKind.HANG:
             return InjectedFault(hang=True)
@@ -272,4 +275,4 @@
         case FaultKind.CORRUPT:
             return InjectedFault(corrupt=lambda response: response[: len(response) // 2])
         case _:
-            return InjectedFault(slowdown=SLOWDOWN)
+            return InjectedFault(slowdown=SLOWDOWN_FACTOR)
