--- a/kestreltrack/testing/harness/__init__.py
+++ b/kestreltrack/testing/harness/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: several senders, with faults on the links between them and on the processes themselves."""
+"""Test harness that runs several senders and injects faults on their links and processes."""
--- a/kestreltrack/testing/harness/fleet.py
+++ b/kestreltrack/testing/harness/fleet.py
@@ -1,4 +1,4 @@
-"""Several real senders that know of each other, over links of the rig's own; the rig ends all that it started."""
+"""Runs several real senders with links that faults can be injected on, and stops everything that it started."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 POLL_INTERVAL_S = 0.05
 ETCD_PREFIX = "/rig/"
-WAIT_TIMEOUT_S = 180.0  # for what has to come about in the end, also beside a busy machine
+WAIT_TIMEOUT_S = 180.0  # generous, for a busy machine
 
 
 class Fleet:
-    """`count` senders named ``s1`` and so on, in zones in turn."""
+    """Runs `count` senders, named ``s1`` and so on, assigned to the zones in turn."""
 
     def __init__(
         self,
@@ -48,19 +48,20 @@
         captures_enabled: bool = False,
         etcd: bool = False,
     ) -> None:
-        """Nothing runs before `async with`; `round_ms` is the members' probe interval, `more` are variables of all.
+        """Prepare the fleet; nothing runs before `async with`.
 
-        Links are named by senders, by partners' endpoints (``p1`` for destination 1), ``list`` and ``front``.  With
-        `etcd` the directory is a stand-in of three members, ``e1`` to ``e3``, and members find each other in its
-        register; the one list is for all there, so that all reach partners by the same ways, from ``senders``.
+        The parties of links are the senders, the endpoints (``p1`` for destination 1), ``list`` for discovery and
+        ``front`` for the clients.  With `etcd` the directory is a fake cluster of three members, ``e1`` to ``e3``;
+        senders find each other by their registration there.  All senders then read the same endpoint list, and so
+        reach the endpoints through the same proxies, whose source is ``senders``.
         """
         self.folder = folder
         self.settings = settings
         self.probe_interval_ms = probe_interval_ms
         self.names = [f"s{n}" for n in range(1, count + 1)]
-        places = list(zones)
-        self.zone_of = {name: places[n % len(places)] for n, name in enumerate(self.names)}
-        groups = {f"zone:{z}": {name for name, at in self.zone_of.items() if at == z} for z in places}
+        zone_names = list(zones)
+        self.zone_of = {name: zone_names[n % len(zone_names)] for n, name in enumerate(self.names)}
+        groups = {f"zone:{z}": {name for name, zone in self.zone_of.items() if zone == z} for z in zone_names}
         self.endpoints = {
             f"p{p.dest}": FakeEndpoint(f"p{p.dest}", p, random.Random(seed + p.dest)) for p in destinations
         }
@@ -69,7 +70,7 @@
         self.extra_variables = extra_variables or {}
         self.fleet_enabled = fleet_enabled
         self.captures_enabled = captures_enabled
-        # Each sender has its own list service, since it reaches each partner through a relay of its own.
+        # Each sender has a platform of its own, since its endpoint list names its own proxies.
         self.platforms = {name: FakePlatform() for name in self.names}
         self.list_proxies = {
             name: self._proxy(name, "list", self._address_of(self.platforms[name])) for name in self.names
@@ -92,19 +93,18 @@
         self.frontend_proxies = {
             name: self._proxy("front", name, self._frontend_address(name)) for name in self.names
         }
-        self.previous_processes: dict[
-            str, SenderProcess
-        ] = {}  # of each name, the process that a newer one stands beside
-        # A Unix socket's path has some 100 bytes; test folders are longer.
+        # By name, the older process of a sender that has a newer one beside it.
+        self.previous_processes: dict[str, SenderProcess] = {}
+        # The path of a Unix socket is limited to about 100 bytes, and test folders have longer paths.
         self._sockets = Path(tempfile.mkdtemp(prefix="rig-"))
 
     async def __aenter__(self) -> Self:
-        """Start all, and wait until each is ready."""
+        """Start everything and wait until each sender is ready."""
         try:
             for endpoint in self.endpoints.values():
                 await endpoint.listen()
-            for relay in self._proxies():
-                await relay.listen()
+            for proxy in self._proxies():
+                await proxy.listen()
             if self.etcd_cluster:
                 await self.etcd_cluster.start()
                 for uid, endpoint in self.endpoints.items():
@@ -119,12 +119,12 @@
                         endpoint.discovery_row() | {"endpoint": self.endpoint_proxies[name, uid].address}
                     )
             await self.datagram_proxy.open(self.names)
-            # Who finds an empty register looks again after 10 s: one stands in it before the others look.
-            first = self.names[: bool(self.etcd_cluster)]
-            for name in first:
+            # A sender that finds nobody registered retries only after 10 s: one registers before the others start.
+            started_first = self.names[: bool(self.etcd_cluster)]
+            for name in started_first:
                 await self.start(name)
-                await self.wait_until(lambda: self._registered_count() > 0, f"{name} in the register")
-            await asyncio.gather(*(self.start(name) for name in self.names[len(first) :]))
+                await self.wait_until(lambda: self._registered_count() > 0, f"the registration of {name}")
+            await asyncio.gather(*(self.start(name) for name in self.names[len(started_first) :]))
         except BaseException:
             await self.close()
             raise
@@ -135,9 +135,9 @@
         return self
 
     def _registered_count(self) -> int:
-        stem = f"{ETCD_PREFIX}senders/".encode()
-        ask = pb.RangeRequest(key=stem, range_end=prefix_end(stem))
-        return len(self.etcd_cluster.store.range(ask).kvs) if self.etcd_cluster else 0
+        prefix = f"{ETCD_PREFIX}senders/".encode()
+        request = pb.RangeRequest(key=prefix, range_end=prefix_end(prefix))
+        return len(self.etcd_cluster.store.range(request).kvs) if self.etcd_cluster else 0
 
     def _groups(self) -> dict[str, set[str]]:
         return {
@@ -150,8 +150,8 @@
         return TcpProxy(self.links, source, target, target_address)
 
     def _proxies(self) -> list[TcpProxy]:
-        ways = self.list_proxies, self.endpoint_proxies, self.frontend_proxies, self.etcd_proxies
-        return [relay for found in ways for relay in found.values()]
+        tables = self.list_proxies, self.endpoint_proxies, self.frontend_proxies, self.etcd_proxies
+        return [proxy for table in tables for proxy in table.values()]
 
     def _member_address(self, number: int) -> Callable[[], str]:
         return lambda: (
@@ -166,13 +166,13 @@
         return lambda: server.address
 
     async def __aexit__(
-        self, kind: type[BaseException] | None, bad: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End all."""
+        """Stop everything."""
         await self.close()
 
     async def close(self) -> None:
-        """Whatever state they are in."""
+        """Kill all processes and close all servers, in whatever state they are."""
         for sender in (*self.senders.values(), *self.previous_processes.values()):
             process = sender.process
             if process and process.returncode is None:
@@ -181,34 +181,34 @@
         for load in self.load_generators.values():
             load.close()
         self.datagram_proxy.close()
-        for relay in self._proxies():
-            relay.close()
+        for proxy in self._proxies():
+            proxy.close()
         if self.etcd_cluster:
             await self.etcd_cluster.stop()
-        stand_ins: list[FakePlatform | FakeEndpoint] = [*self.platforms.values(), *self.endpoints.values()]
-        for stand_in in stand_ins:
-            stand_in.close()
+        fakes: list[FakePlatform | FakeEndpoint] = [*self.platforms.values(), *self.endpoints.values()]
+        for fake in fakes:
+            fake.close()
         shutil.rmtree(self._sockets, ignore_errors=True)
 
     def admin_socket(self, name: str) -> Path:
-        """Where the process of that name that was started last takes commands."""
+        """Return the admin socket of the latest process of a sender."""
         return self._sockets / f"{name}-{1 if name in self.previous_processes else 0}"
 
     def environment(self, name: str) -> dict[str, str]:
-        """What the operator sets for one of them."""
-        own = {"KESTRELTRACK_ADMIN_SOCKET": str(self.admin_socket(name)), **self.extra_variables}
+        """Return the environment variables that an operator sets for a sender."""
+        variables = {"KESTRELTRACK_ADMIN_SOCKET": str(self.admin_socket(name)), **self.extra_variables}
         if self.captures_enabled:
-            place = self.folder / name / "capture"
-            place.mkdir(parents=True, exist_ok=True)
-            own["KESTRELTRACK_CAPTURE_FOLDER"] = str(place)
+            capture_folder = self.folder / name / "capture"
+            capture_folder.mkdir(parents=True, exist_ok=True)
+            variables["KESTRELTRACK_CAPTURE_FOLDER"] = str(capture_folder)
         if not self.fleet_enabled:
-            return own
+            return variables
         if self.etcd_cluster:
-            ways = [self.etcd_proxies[name, n].address for n in range(3)]
-            own |= {
+            etcd_addresses = [self.etcd_proxies[name, n].address for n in range(3)]
+            variables |= {
                 "KESTRELTRACK_DIRECTORY_SOURCE": "etcd",
                 "KESTRELTRACK_DIRECTORY_ETCD_PREFIX": ETCD_PREFIX,
-                "KESTRELTRACK_DIRECTORY_ETCD_MEMBERS": ",".join(ways),
+                "KESTRELTRACK_DIRECTORY_ETCD_MEMBERS": ",".join(etcd_addresses),
             }
         host, port = self.datagram_proxy.real_addresses[name]
         seeds = [self.datagram_proxy.advertised_addresses[other] for other in self.names[:3]]
@@ -219,35 +219,35 @@
             "KESTRELTRACK_FLEET_ZONE": self.zone_of[name],
             "KESTRELTRACK_FLEET_ROUND_MS": str(self.probe_interval_ms),
             "KESTRELTRACK_FLEET_ANSWER_MS": str(self.probe_interval_ms * 0.4),
-            **own,
+            **variables,
         }
 
     async def start(self, name: str, emptied: bool = False) -> None:
-        """Start one, in the folder that it had or an empty one; returns once it is ready."""
+        """Start a sender with its existing state, or without any if `emptied`; return once it is ready."""
         state = self.folder / name / "state"
         if emptied:
             shutil.rmtree(state, ignore_errors=True)
         await self.senders[name].start(self.list_proxies[name].address, self.settings, self.environment(name))
 
     async def start_successor(self, name: str) -> None:
-        """A new version of one beside the old, on the same addresses and folder."""
+        """Start a successor beside the running process of a sender, with the same addresses and folder."""
         old = self.previous_processes[name] = self.senders[name]
         new = self.senders[name] = SenderProcess(old.folder, name, self.folder / f"{name}.log")
         new.listen_address = old.listen_address
         await self.start(name)
 
     async def signal(self, names: Iterable[str], number: signal.Signals) -> None:
-        """Send each that signal."""
+        """Send a signal to each of these senders."""
         for name in names:
             await self.senders[name].signal(number)
 
     async def wait_ended(self, sender: SenderProcess) -> None:
-        """Wait for a process's end."""
+        """Wait for the exit of a process."""
         if sender.process:
             await sender.process.wait()
 
     async def membership_view(self, name: str) -> dict[str, str]:
-        """Standing of each member as one of them sees it; empty where it does not answer."""
+        """Return the standing of each member as one sender sees it; empty if the sender does not answer."""
         try:
             answer = await asyncio.to_thread(send_command, self.admin_socket(name), "fleet.members")
         except (OSError, ValueError):
@@ -257,37 +257,37 @@
     async def wait_for_views(
         self, sender_names: Iterable[str], holds: Callable[[dict[str, str]], bool], description: str
     ) -> None:
-        """Wait until that holds of the view of each of these at one time; raises `AssertionError` with the views."""
+        """Wait until `holds` is true of the views of all senders named; raises `AssertionError` on timeout."""
         names = list(sender_names)
         loop = asyncio.get_running_loop()
-        ends = loop.time() + WAIT_TIMEOUT_S
+        deadline = loop.time() + WAIT_TIMEOUT_S
         while True:
             views = dict(
                 zip(names, await asyncio.gather(*(self.membership_view(name) for name in names)), strict=True)
             )
             if all(holds(view) for view in views.values()):
                 return
-            assert loop.time() < ends, f"{description} does not come about: {views}"
+            assert loop.time() < deadline, f"timed out waiting: {description}: {views}"
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def log_records(self, name: str, event: str, **fields: Any) -> list[dict[str, Any]]:
-        """What a sender's present process has logged of that event with these fields."""
+        """Return the log records of a sender's current process that have this event and these field values."""
         rows = [line for line in self.senders[name].log_records if line["event"] == event]
         return [row for row in rows if all(row.get(key) == value for key, value in fields.items())]
 
     async def wait_until(self, holds: Callable[[], bool], description: str) -> None:
-        """Wait until that holds; raises `AssertionError`."""
+        """Wait until `holds` returns true; raises `AssertionError` on timeout."""
         loop = asyncio.get_running_loop()
-        ends = loop.time() + WAIT_TIMEOUT_S
+        deadline = loop.time() + WAIT_TIMEOUT_S
         while not holds():
-            assert loop.time() < ends, f"{description} does not come about"
+            assert loop.time() < deadline, f"timed out waiting: {description}"
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_for_membership(self, expected_names: Iterable[str]) -> None:
-        """Wait until each of these holds exactly these to be alive."""
+        """Wait until each of these senders sees exactly these as alive."""
         names = set(expected_names)
 
         def holds(view: dict[str, str]) -> bool:
             return {name for name, standing in view.items() if standing == "alive"} == names
 
-        await self.wait_for_views(names, holds, f"that {sorted(names)} are the members")
+        await self.wait_for_views(names, holds, f"the members {sorted(names)}")
--- a/kestreltrack/testing/harness/links.py
+++ b/kestreltrack/testing/harness/links.py
@@ -1,7 +1,7 @@
-"""Faults on the links between parties, by name: what becomes of datagrams and streams.  No I/O; draws from one seed.
+"""Faults on the links between named parties and their effect on datagrams and streams; no I/O, one random seed.
 
-A party is named by itself (``s2``), by a group (``zone:a``) or as ``*``; a fault holds from one set of names to
-another, one way, until it is healed.  The later of two faults on one link adds to the earlier.
+A pattern is the name of a party (``s2``), a group (``zone:a``) or ``*``.  A fault applies in one direction, from the
+parties that match one pattern to those that match another, until it is healed.  Several faults on a link add up.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """What happens on a link; `loss`, `repeat` and `late_ms` concern datagrams, `reset` and `bytes_s` streams."""
+    """A link fault; `loss`, `jitter_ms` and `duplicate_*` affect datagrams, `reset` and `bytes_per_s` streams."""
 
     cut: bool = False
     loss: float = 0.0
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    duplicate_rate: float = 0.0  # share that comes once more, `late_ms` after the first
+    duplicate_rate: float = 0.0  # share that is repeated, `duplicate_delay_ms` after the first
     duplicate_delay_ms: float = 0.0
-    reset: bool = False  # connections end, old and new ones
-    bytes_per_s: float = 0.0  # a trickle; 0 for as much as comes
+    reset: bool = False  # resets existing and new connections
+    bytes_per_s: float = 0.0  # 0 for no limit
 
     def __post_init__(self) -> None:
-        """Refuse what no link does."""
+        """Reject invalid values."""
         if not (0.0 <= self.loss <= 1.0 and 0.0 <= self.duplicate_rate <= 1.0):
-            raise ValueError("loss and repeat are shares, 0 to 1")
+            raise ValueError("loss and duplicate_rate (`repeat` in scenario files) must be between 0 and 1")
         if min(self.delay_ms, self.jitter_ms, self.duplicate_delay_ms) < 0.0:
-            raise ValueError("delays are not negative")
+            raise ValueError("delays must not be negative")
 
 
 class Links:
-    """All links; `groups` names the members of each group."""
+    """The faults on all links; `groups` maps the name of each group to its members."""
 
     def __init__(self, seed: int, groups: dict[str, set[str]] | None = None) -> None:
-        """Begin with every link whole."""
+        """Start without faults."""
         self.groups = groups or {}
         self._random = random.Random(seed)
         self._faults = list[tuple[str, str, LinkFault]]()
@@ -44,41 +44,41 @@
         return pattern in ("*", name) or name in self.groups.get(pattern, ())
 
     def inject(self, source: str, target: str, fault: LinkFault, bidirectional: bool = True) -> None:
-        """From now on this happens from `source` to `target`, and the other way round."""
+        """Add a fault from `source` to `target`, and in the other direction if `bidirectional`."""
         self._faults.append((source, target, fault))
         if bidirectional:
             self._faults.append((target, source, fault))
 
     def heal(self, source: str = "", target: str = "") -> None:
-        """Every link is whole again, or those that a fault was put on by these names."""
-        both = {(source, target), (target, source)}
-        self._faults = [row for row in self._faults if source and (row[0], row[1]) not in both]
+        """Remove all faults, or those that were injected between these two patterns."""
+        directions = {(source, target), (target, source)}
+        self._faults = [row for row in self._faults if source and (row[0], row[1]) not in directions]
 
     def stream_fault(self, source: str, target: str) -> LinkFault:
-        """What happens to a stream one way: all its faults in one."""
+        """Return the combined faults on a stream in one direction."""
         found = [
             fault
-            for one, other, fault in self._faults
-            if self._matches(source, one) and self._matches(target, other)
+            for source_pattern, target_pattern, fault in self._faults
+            if self._matches(source, source_pattern) and self._matches(target, target_pattern)
         ]
-        slowest = min((fault.bytes_per_s for fault in found if fault.bytes_per_s), default=0.0)
+        lowest_rate = min((fault.bytes_per_s for fault in found if fault.bytes_per_s), default=0.0)
         return LinkFault(
             cut=any(fault.cut for fault in found),
             reset=any(fault.reset for fault in found),
-            bytes_per_s=slowest,
+            bytes_per_s=lowest_rate,
             delay_ms=sum(fault.delay_ms for fault in found),
         )
 
     def datagram_delays(self, source: str, target: str) -> list[float]:
-        """After how many milliseconds a datagram arrives: none where it is lost, two where it is repeated."""
+        """Return the delay in ms of each copy of a datagram: none if it is lost, several if it is duplicated."""
         delay = 0.0
         copies = list[float]()
-        for one, other, fault in self._faults:
-            if not (self._matches(source, one) and self._matches(target, other)):
+        for source_pattern, target_pattern, fault in self._faults:
+            if not (self._matches(source, source_pattern) and self._matches(target, target_pattern)):
                 continue
             if fault.cut or self._random.random() < fault.loss:
                 return []
             delay += fault.delay_ms + fault.jitter_ms * self._random.random()
             if fault.duplicate_rate and self._random.random() < fault.duplicate_rate:
                 copies.append(fault.duplicate_delay_ms)
-        return [delay, *(delay + late for late in copies)]
+        return [delay, *(delay + extra_ms for extra_ms in copies)]
--- a/kestreltrack/testing/harness/sender_process.py
+++ b/kestreltrack/testing/harness/sender_process.py
@@ -1,4 +1,4 @@
-"""A real sender process: its files, its start to readiness, its log as it comes, its end."""
+"""A real sender process: its files, its start until it is ready, its log and its shutdown."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 import orjson
 
-READY_TIMEOUT_S = 90.0  # also beside a busy machine
+READY_TIMEOUT_S = 90.0  # generous, for a busy machine
 
 
 class SenderProcess:
-    """The real process."""
+    """Starts, observes and stops a sender; the same object can start several processes in turn."""
 
     def __init__(self, folder: Path, name: str, log: Path | None = None) -> None:
-        """Its files lie in the folder; `log` keeps what it writes."""
+        """Keep the files of the sender in `folder`; append its output to the file `log`, if given."""
         self.folder = folder
         self.name = name
         self.listen_address = "127.0.0.1:0"
         self._log = log
-        self.clock_rate = 1.0  # of its own clock; another than 1 in a debug build
+        self.clock_rate = 1.0  # rate of the sender's clock; values other than 1 need a build without -O
         self.process: asyncio.subprocess.Process | None = None
         self.log_records = deque[dict[str, Any]](maxlen=2000)
         self.counters = dict[str, int]()
@@ -34,7 +34,7 @@
         self._became_ready = False
 
     async def start(self, discovery: str, settings: dict[str, Any], extra_variables: dict[str, str]) -> None:
-        """Start it, and wait until it is ready; `more` holds variables of the operator's."""
+        """Start a process and wait until it is ready; `extra_variables` are added to its environment."""
         state = self.folder / "state"
         config = self.folder / "config.json"
         state.mkdir(parents=True, exist_ok=True)
@@ -51,10 +51,10 @@
         env["PYTHONPATH"] = root
         self._ready.clear()
         self._became_ready = False
-        build = ["-O"] if self.clock_rate == 1.0 else []
-        env |= {} if build else {"LAB_CLOCK_RATE": str(self.clock_rate)}
+        interpreter_flags = ["-O"] if self.clock_rate == 1.0 else []
+        env |= {} if interpreter_flags else {"LAB_CLOCK_RATE": str(self.clock_rate)}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *build, "-m", "kestreltrack", env=env, stderr=asyncio.subprocess.PIPE
+            sys.executable, *interpreter_flags, "-m", "kestreltrack", env=env, stderr=asyncio.subprocess.PIPE
         )
         self._reader_task = asyncio.create_task(self._read(self.process))
         async with asyncio.timeout(READY_TIMEOUT_S):
@@ -64,20 +64,20 @@
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr
-        kept = self._log.open("ab") if self._log else None
+        log_file = self._log.open("ab") if self._log else None
         try:
             async for line in process.stderr:
-                if kept:
-                    kept.write(line)
+                if log_file:
+                    log_file.write(line)
                 try:
                     row = orjson.loads(line)
                 except ValueError:
                     row = {"event": "unreadable", "line": line.decode(errors="replace")}
                 self._on_log_record(row)
         finally:
-            self._ready.set()  # it may have ended before it was ready
-            if kept:
-                kept.close()
+            self._ready.set()  # the process may have ended before it was ready
+            if log_file:
+                log_file.close()
 
     def _on_log_record(self, row: dict[str, Any]) -> None:
         if row["event"] == "ready":
@@ -89,7 +89,7 @@
         self.log_records.append(row)
 
     def memory_mb(self) -> float:
-        """Of the process, resident."""
+        """Return the resident memory of the process."""
         if self.process is None or self.process.returncode is not None:
             return 0.0
         try:
@@ -99,7 +99,7 @@
         return pages * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def descriptor_count(self) -> int:
-        """Descriptors that the process has open."""
+        """Return the number of open descriptors of the process."""
         if self.process is None or self.process.returncode is not None:
             return 0
         try:
@@ -108,7 +108,7 @@
             return 0
 
     def cpu_s(self) -> float:
-        """Processor time of the process so far."""
+        """Return the CPU time that the process has used."""
         if self.process is None or self.process.returncode is not None:
             return 0.0
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
@@ -125,7 +125,7 @@
                 os.kill(self.process.pid, number)
 
     async def stop(self) -> None:
-        """SIGTERM, and the end; killed if it does not come."""
+        """Send SIGTERM and wait for the exit; kill the process if it does not exit within 6 s."""
         if self.process is None:
             return
         await self.signal(signal.SIGTERM)
--- a/kestreltrack/testing/harness/tcp_proxy.py
+++ b/kestreltrack/testing/harness/tcp_proxy.py
@@ -1,9 +1,8 @@
-"""Connections between real processes through servers of the rig's own, so that each link can be broken by name.
+"""Forwards TCP connections between real processes, so that faults can be injected on each link by name.
 
-A relay stands for one way from a party to another: from a sender to a partner's endpoint or the list service, from
-the front to a sender.  What its link's faults say holds for new connections and for those that stand: a cut holds
-bytes back, as a path without answers does, until it is healed; a reset ends connections; a trickle lets few bytes a
-second by.
+A proxy serves the connections from one party to another: from a sender to an endpoint or to discovery, or from the
+clients to a sender.  The faults of its link apply to new and to existing connections: a cut holds bytes back until
+it is healed, like a path without responses; a reset ends connections; `bytes_per_s` limits the rate.
 """
 
 from __future__ import annotations
@@ -14,17 +13,17 @@
 from kestreltrack.testing.fakes.loopback_server import LoopbackServer
 from kestreltrack.testing.harness.links import Links
 
-POLL_INTERVAL_S = 0.01  # between looks whether a link is whole again
+POLL_INTERVAL_S = 0.01  # between checks whether a link is healed
 CHUNK_BYTES = 4096
 
 
 class TcpProxy(LoopbackServer):
-    """One way; it listens at `address`."""
+    """Forwards connections from one party to another; it listens at `address`."""
 
-    malformed_input_errors = ()  # it reads nothing of what it carries
+    malformed_input_errors = ()  # it does not parse what it forwards
 
     def __init__(self, links: Links, source: str, target: str, target_address: Callable[[], str]) -> None:
-        """`to` tells the real address of the target of the moment."""
+        """`target_address` returns the current real address of the target."""
         super().__init__()
         self.links = links
         self.source = source
@@ -35,13 +34,13 @@
         self._connections = set[asyncio.Task[None]]()
 
     def close(self) -> None:
-        """End all."""
+        """Stop listening and end all connections."""
         super().close()
-        for line in self._connections:
-            line.cancel()
+        for task in self._connections:
+            task.cancel()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection, and the one that it leads to."""
+        """Forward one accepted connection to the target."""
         task = asyncio.current_task()
         assert task
         self._connections.add(task)
@@ -58,25 +57,24 @@
             return
         await self._wait_until_open(self.source, self.target)
         host, _, port = self.target_address().rpartition(":")
-        inner, outer = await asyncio.open_connection(host, int(port))
-        ways = [
-            asyncio.create_task(self._forward(reader, outer, self.source, self.target)),
-            asyncio.create_task(self._forward(inner, writer, self.target, self.source)),
+        target_reader, target_writer = await asyncio.open_connection(host, int(port))
+        directions = [
+            asyncio.create_task(self._forward(reader, target_writer, self.source, self.target)),
+            asyncio.create_task(self._forward(target_reader, writer, self.target, self.source)),
         ]
         try:
-            done, _ = await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-            if all(
-                way.exception() is None for way in done
-            ):  # one side is done; the other may still have an answer
-                await asyncio.wait(ways, timeout=1.0)
+            done, _ = await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
+            # One direction has ended without error; the other may still carry a response.
+            if all(direction.exception() is None for direction in done):
+                await asyncio.wait(directions, timeout=1.0)
         finally:
-            for way in ways:
-                way.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
-            outer.transport.abort()
+            for direction in directions:
+                direction.cancel()
+            await asyncio.gather(*directions, return_exceptions=True)
+            target_writer.transport.abort()
 
     async def _wait_until_open(self, source: str, target: str) -> None:
-        """Wait while nothing passes; raises `ConnectionResetError` where connections are ended."""
+        """Wait while the link is cut; raises `ConnectionResetError` if it is reset."""
         while (fault := self.links.stream_fault(source, target)).cut or fault.reset:
             if fault.reset:
                 self.reset_count += 1
@@ -86,15 +84,15 @@
     async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, target: str
     ) -> None:
-        ended = asyncio.create_task(self._until_reset(source, target))
+        reset = asyncio.create_task(self._until_reset(source, target))
         try:
             while True:
-                piece = asyncio.create_task(reader.read(CHUNK_BYTES))
-                await asyncio.wait({piece, ended}, return_when=asyncio.FIRST_COMPLETED)
-                if ended.done():
-                    piece.cancel()
+                pending_read = asyncio.create_task(reader.read(CHUNK_BYTES))
+                await asyncio.wait({pending_read, reset}, return_when=asyncio.FIRST_COMPLETED)
+                if reset.done():
+                    pending_read.cancel()
                     raise ConnectionResetError
-                if not (data := piece.result()):
+                if not (data := pending_read.result()):
                     break
                 await self._wait_until_open(source, target)
                 fault = self.links.stream_fault(source, target)
@@ -107,7 +105,7 @@
             if writer.can_write_eof():
                 writer.write_eof()
         finally:
-            ended.cancel()
+            reset.cancel()
 
     async def _until_reset(self, source: str, target: str) -> None:
         while not self.links.stream_fault(source, target).reset:
