--- a/tests/processes.py
+++ b/tests/processes.py
@@ -33,7 +33,7 @@
     "test_replicated_config_processes": "several senders that vote, with faults between them",
     "test_fleet_rig": "several senders that hear of each other's ends in time",
     "test_lab_play": "scenarios of the emulator by real processes",
-    "test_standing_rig": "senders killed and stopped under load",
+    "test_shutdown_under_load": "senders killed and stopped under load",
     "test_outage_probing_rig": "several senders that take turns with a destination",
 }
 TABLES = {"processes": PROCESSES, "exclusive": EXCLUSIVE}
