--- a/kestreltrack/testing/soak/clients.py
+++ b/kestreltrack/testing/soak/clients.py
@@ -50,7 +50,7 @@
         plan = self._plan
         started_at = time.monotonic()
         due_s = [plan.burst_at_s] * (plan.burst_size // plan.senders)
-        at_s = plan.quiet_s
+        at_s = plan.initial_idle_s
         while (at_s := at_s + self._random.expovariate(plan.rate)) < plan.seconds:
             due_s.append(at_s)
         for at_s in sorted(due_s):
--- a/kestreltrack/testing/soak/plan.py
+++ b/kestreltrack/testing/soak/plan.py
@@ -77,7 +77,7 @@
     at_s: float
     kind: FaultKind
     target: int
-    lasts_s: float = 0.0
+    duration_s: float = 0.0
     count: int = 1
 
 
@@ -92,7 +92,7 @@
     destinations: int
     endpoints_per_destination: int
     indented_lists: bool
-    quiet_s: float
+    initial_idle_s: float
     """Initial period without load."""
     rate: float
     """Messages per second for each sender."""
@@ -108,8 +108,8 @@
     rng = random.Random(f"soak {seed}")
     sender_count = rng.randint(1, 5)
     destinations = rng.randint(3, 6)
-    quiet_s = rng.choice([0.0, 0.0, 0.0, 0.2]) * seconds
-    drawn = _draw_faults(rng, seconds, quiet_s, sender_count, destinations)
+    initial_idle_s = rng.choice([0.0, 0.0, 0.0, 0.2]) * seconds
+    all_faults = _draw_faults(rng, seconds, initial_idle_s, sender_count, destinations)
     plan = SoakPlan(
         seed=seed,
         seconds=seconds,
@@ -118,11 +118,11 @@
         destinations=destinations,
         endpoints_per_destination=rng.randint(1, 3),
         indented_lists=rng.random() < 0.3,
-        quiet_s=quiet_s,
+        initial_idle_s=initial_idle_s,
         rate=rng.uniform(10.0, 40.0) / sender_count**0.5,
         burst_at_s=rng.uniform(0.3, 0.8) * seconds,
         burst_size=rng.randint(20, 80),
-        faults=tuple(fault for number, fault in enumerate(drawn) if number not in without),
+        faults=tuple(fault for number, fault in enumerate(all_faults) if number not in without),
     )
     if senders is None:
         return plan
@@ -160,13 +160,13 @@
 
 
 def _draw_faults(
-    rng: random.Random, seconds: float, quiet_s: float, senders: int, destinations: int
+    rng: random.Random, seconds: float, initial_idle_s: float, senders: int, destinations: int
 ) -> list[Fault]:
-    begin_s, end_s = quiet_s + 0.1 * seconds, 0.75 * seconds
+    begin_s, end_s = initial_idle_s + 0.1 * seconds, 0.75 * seconds
     faults = list[Fault]()
 
-    def add(kind: FaultKind, target: int, lasts_s: float = 0.0, count: int = 1) -> None:
-        faults.append(Fault(rng.uniform(begin_s, end_s), kind, target, lasts_s, count))
+    def add(kind: FaultKind, target: int, duration_s: float = 0.0, count: int = 1) -> None:
+        faults.append(Fault(rng.uniform(begin_s, end_s), kind, target, duration_s, count))
 
     for _ in range(rng.randint(1, 3)):
         add(rng.choice(SENDER_FAULTS), rng.randrange(senders), rng.uniform(0.02, 0.3), rng.randint(1, 3))
--- a/kestreltrack/testing/soak/processes.py
+++ b/kestreltrack/testing/soak/processes.py
@@ -106,7 +106,7 @@
                 await self._signal_ready(SIGUSR1)
             case FaultKind.HOLD_UP:
                 await self._signal_ready(SIGSTOP)
-                await asyncio.sleep(min(fault.lasts_s, MAX_PAUSE_S))
+                await asyncio.sleep(min(fault.duration_s, MAX_PAUSE_S))
                 await self.signal(SIGCONT)
             case _:
                 async with self._restart_lock:
@@ -124,7 +124,7 @@
         await asyncio.sleep(RESTART_AFTER_S)
         await self.start_next()
         if fault.kind in (FaultKind.KILL_TWICE, FaultKind.STOP_IN_START):
-            await asyncio.sleep(fault.lasts_s)
+            await asyncio.sleep(fault.duration_s)
             await (self.kill() if fault.kind is FaultKind.KILL_TWICE else self.terminate())
             await asyncio.sleep(RESTART_AFTER_S)
             await self.start_next()
--- a/kestreltrack/testing/soak/runner.py
+++ b/kestreltrack/testing/soak/runner.py
@@ -169,7 +169,7 @@
         endpoints = [endpoint for endpoint in self.endpoints if endpoint.destination is destination]
         endpoint = endpoints[self._random.randrange(len(endpoints))]
         if fault.kind is FaultKind.DRAIN:
-            await self._drain(endpoint, fault.lasts_s)
+            await self._drain(endpoint, fault.duration_s)
             return
         if fault.kind is FaultKind.RESET:
             endpoint.reset_connections()
@@ -177,12 +177,12 @@
         if fault.kind is FaultKind.LOWER_LIMIT:
             destination.rate_limit = LOWERED_LIMIT_PER_S
         else:
-            destination.fault = _fault_on_destination(fault.kind)
-        await asyncio.sleep(fault.lasts_s)
+            destination.fault = _destination_fault(fault.kind)
+        await asyncio.sleep(fault.duration_s)
         destination.rate_limit = 0.0
         destination.recover()
 
-    async def _drain(self, endpoint: ObservedEndpoint, lasts_s: float) -> None:
+    async def _drain(self, endpoint: ObservedEndpoint, duration_s: float) -> None:
         if any(
             drain.endpoint == endpoint.uid and drain.ended_at == NEVER for drain in self.observations.drains
         ):
@@ -192,7 +192,7 @@
         self.observations.drains += drains
         for platform in self.platforms.values():
             platform.publish(endpoint.discovery_row("draining"))
-        await asyncio.sleep(lasts_s)
+        await asyncio.sleep(duration_s)
         for drain, platform in zip(drains, self.platforms.values(), strict=True):
             drain.ended_at = time.monotonic()
             (*_, latest) = self.observations.processes_of(drain.sender)
@@ -217,16 +217,16 @@
             case FaultKind.CROWD:
                 # About half of the drawn counts exceed the descriptor limit; discovery is unavailable meanwhile.
                 self.platforms[name].available.clear()
-                await clients.crowd(fault.count * DESCRIPTORS // 26, fault.lasts_s)
+                await clients.crowd(fault.count * DESCRIPTORS // 26, fault.duration_s)
                 self.platforms[name].available.set()
             case FaultKind.HALF_COMMANDS:
-                await clients.crowd(fault.count, fault.lasts_s, HALF_COMMAND)
+                await clients.crowd(fault.count, fault.duration_s, HALF_COMMAND)
             case FaultKind.BAD_COMMANDS:
                 await clients.bad_commands(fault.count)
             case _:
                 for platform in self.platforms.values():
                     platform.available.clear()
-                await asyncio.sleep(fault.lasts_s)
+                await asyncio.sleep(fault.duration_s)
                 for platform in self.platforms.values():
                     platform.available.set()
 
@@ -262,7 +262,7 @@
             self.observations.execution_counts.update(destination.execution_counts)
 
 
-def _fault_on_destination(kind: FaultKind) -> InjectedFault:
+def _destination_fault(kind: FaultKind) -> InjectedFault:
     match kind:
         case FaultKind.HANG:
             return InjectedFault(hang=True)
