--- a/kestreltrack/testing/soak/plan.py
+++ b/kestreltrack/testing/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws a run of the soak from its seed: settings, senders, load and the schedule of faults."""
+"""Generates a soak run from its seed: settings, senders, load and the schedule of faults."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from kestreltrack.testing.demo.environment import SETTINGS
 
-MEMORY_MB = 192  # as `SenderProcess` writes the limits
+MEMORY_MB = 192  # the limits that `SenderProcess` configures
 DESCRIPTORS = 1024
 DRAIN_GRACE_MS = 500.0
 TENANT = "acme"
 
 
 class FaultKind(StrEnum):
-    """What happens to a sender, an endpoint, discovery or the clients."""
+    """A fault of a sender, an endpoint, discovery or the clients."""
 
-    STOP = "stop"  # SIGTERM once to three times, SIGKILL 3.7 s later, start 0.6 s after the end
-    KILL = "kill"  # SIGKILL, start 0.6 s later
-    KILL_AT_ACCEPT = "kill at accept"  # SIGKILL right behind the next +OK
-    KILL_TWICE = "kill twice"  # SIGKILL, and SIGKILL again in the start
-    STOP_IN_START = "stop in start"  # SIGKILL, and SIGTERM in the start
+    STOP = "stop"  # one to three SIGTERM, SIGKILL 3.7 s after the first, restart 0.6 s after the exit
+    KILL = "kill"  # SIGKILL, restart 0.6 s later
+    KILL_AT_ACCEPT = "kill at accept"  # SIGKILL immediately after the next +OK
+    KILL_TWICE = "kill twice"  # SIGKILL, and SIGKILL again during the restart
+    STOP_IN_START = "stop in start"  # SIGKILL, and SIGTERM during the restart
     RELOAD = "reload"  # SIGHUP in quick succession
     COUNTERS = "counters"  # SIGUSR1
     HOLD_UP = "hold up"  # SIGSTOP and SIGCONT
@@ -32,13 +32,13 @@
     CORRUPT = "corrupt"
     STALL = "stall"
     SLOW = "slow"
-    RESET = "reset"  # all connections of an endpoint
+    RESET = "reset"  # resets all connections of an endpoint
     LOWER_LIMIT = "lower limit"
     DRAIN = "drain"
     DISCOVERY_SILENT = "discovery silent"
-    FLOOD = "flood"  # clients that send much at once and leave
-    CROWD = "crowd"  # idle clients
-    HALF_COMMANDS = "half commands"  # clients that stop in the middle and stay
+    FLOOD = "flood"  # clients that send many requests at once and disconnect
+    CROWD = "crowd"  # many idle clients
+    HALF_COMMANDS = "half commands"  # clients that send a partial command and stay connected
     BAD_COMMANDS = "bad commands"
 
 
@@ -72,18 +72,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: `target` is the number of a sender, a destination or an endpoint, as the kind has it."""
+    """One fault; `target` is the index of a sender or of a destination, depending on the kind."""
 
     at_s: float
     kind: FaultKind
     target: int
-    lasts_s: float = 0.0
+    duration_s: float = 0.0
     count: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """One run."""
+    """Everything that determines one run."""
 
     seed: int
     seconds: float
@@ -92,10 +92,10 @@
     destinations: int
     endpoints_per_destination: int
     indented_lists: bool
-    quiet_s: float
-    """Without load, at the begin."""
+    initial_idle_s: float
+    """Initial period without load."""
     rate: float
-    """Messages a second of each sender."""
+    """Messages per second for each sender."""
     burst_at_s: float
     burst_size: int
     faults: tuple[Fault, ...]
@@ -104,12 +104,12 @@
 def draw_plan(
     seed: int, seconds: float, senders: int | None = None, without: frozenset[int] = frozenset()
 ) -> SoakPlan:
-    """Return the run of a seed; `without` leaves out faults by their number, all else stays as it is."""
+    """Return the plan of a seed; `without` omits faults by number and changes nothing else."""
     rng = random.Random(f"soak {seed}")
     sender_count = rng.randint(1, 5)
     destinations = rng.randint(3, 6)
-    quiet_s = rng.choice([0.0, 0.0, 0.0, 0.2]) * seconds
-    drawn = _draw_faults(rng, seconds, quiet_s, sender_count, destinations)
+    initial_idle_s = rng.choice([0.0, 0.0, 0.0, 0.2]) * seconds
+    all_faults = _draw_faults(rng, seconds, initial_idle_s, sender_count, destinations)
     plan = SoakPlan(
         seed=seed,
         seconds=seconds,
@@ -118,11 +118,11 @@
         destinations=destinations,
         endpoints_per_destination=rng.randint(1, 3),
         indented_lists=rng.random() < 0.3,
-        quiet_s=quiet_s,
+        initial_idle_s=initial_idle_s,
         rate=rng.uniform(10.0, 40.0) / sender_count**0.5,
         burst_at_s=rng.uniform(0.3, 0.8) * seconds,
         burst_size=rng.randint(20, 80),
-        faults=tuple(fault for number, fault in enumerate(drawn) if number not in without),
+        faults=tuple(fault for number, fault in enumerate(all_faults) if number not in without),
     )
     if senders is None:
         return plan
@@ -160,13 +160,13 @@
 
 
 def _draw_faults(
-    rng: random.Random, seconds: float, quiet_s: float, senders: int, destinations: int
+    rng: random.Random, seconds: float, initial_idle_s: float, senders: int, destinations: int
 ) -> list[Fault]:
-    begin_s, end_s = quiet_s + 0.1 * seconds, 0.75 * seconds
+    begin_s, end_s = initial_idle_s + 0.1 * seconds, 0.75 * seconds
     faults = list[Fault]()
 
-    def add(kind: FaultKind, target: int, lasts_s: float = 0.0, count: int = 1) -> None:
-        faults.append(Fault(rng.uniform(begin_s, end_s), kind, target, lasts_s, count))
+    def add(kind: FaultKind, target: int, duration_s: float = 0.0, count: int = 1) -> None:
+        faults.append(Fault(rng.uniform(begin_s, end_s), kind, target, duration_s, count))
 
     for _ in range(rng.randint(1, 3)):
         add(rng.choice(SENDER_FAULTS), rng.randrange(senders), rng.uniform(0.02, 0.3), rng.randint(1, 3))
