--- a/tests/test_standing.py
+++ b/tests/test_regression_captures.py
@@ -1,4 +1,4 @@
-"""Past failures as captures: the module answers as it did, and each capture still shows what it guards."""
+"""Captures of past failures: a replay gives the recorded actions, and each capture still shows its property."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 
 
 @pytest.mark.parametrize("name", SCRIPTS)
-def test_a_past_failure_stays_past(name: str) -> None:
+def test_a_replayed_capture_gives_the_recorded_actions_and_keeps_its_property(name: str) -> None:
     file = FOLDER / f"{name}.ktc"
-    done = replay([file])
-    assert done.identical() and not done.faults and done.compared > 1, "run `make bless` if this was meant"
+    result = replay([file])
+    assert result.identical() and not result.faults and result.compared > 1, (
+        "run `make bless` if this change is intended"
+    )
     assert SCRIPTS[name].holds(answers(file)), SCRIPTS[name].guards
-    assert not SCRIPTS[name].holds([]), "a property that nothing can break guards nothing"
+    assert not SCRIPTS[name].holds([]), "the property must not hold for an empty list of answers"
 
 
-def test_no_capture_stands_without_its_script() -> None:
+def test_each_capture_has_a_script_and_each_script_a_capture() -> None:
     assert {file.stem for file in FOLDER.glob("*.ktc")} == set(SCRIPTS)
 
 
@@ -37,7 +39,7 @@
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_a_planted_defect_loses_the_property(
+def test_an_injected_defect_changes_the_replay_and_breaks_the_property(
     name: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     owner, attribute, value = DEFECTS[name]
