--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared builders: settings with round figures, and a relay driven by hand."""
+"""Shared builders: settings with round figures, and one sender's decision module with a manual clock."""
 
 from __future__ import annotations
 
@@ -92,20 +92,20 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """KNOWN-RED.txt holds in every run, so `make test` and CI come to one verdict; so do the tables of marks."""
+    """Apply KNOWN-RED.txt and the tables of marks to every run, so that `make test` and CI agree."""
     known_red.register(config)
     processes.register(config)
 
 
 def entry(dest: int, name: str = "", **more: Any) -> EndpointEntry:
-    """One entry of the list; rate 20 a second unless said."""
+    """Return an entry of the endpoint list, with a rate of 20 calls a second by default."""
     return EndpointEntry(
         **{"endpoint": name or f"e{dest}", "dest": dest, "kind": "plain", "rate": 20.0, **more}
     )
 
 
 class Relay:
-    """A policy with a clock moved by hand; remembers what is out and passes timers on by itself."""
+    """The decision module of one sender with a manual clock; records the attempt and endpoint of each message."""
 
     def __init__(self, *entries: EndpointEntry, **changes: Any) -> None:
         self.policy = Policy(replace(SETTINGS, **changes), seed=7)
@@ -117,7 +117,7 @@
         self.do(EndpointsUpdated(entries, complete=True))
 
     def do(self, *events: Event) -> list[Action]:
-        """Step at the present moment; the actions are returned, but for timers."""
+        """Handle events at the current time, and return the actions other than timers."""
         acts = list(self.policy.step(self.now, events))
         acts = [a for a in acts if not isinstance(a, SetTimer)]
         for act in acts:
@@ -128,7 +128,7 @@
         return acts
 
     def wait(self, ms: float) -> list[Action]:
-        """Let time pass with a timer event every 10 ms."""
+        """Advance the clock with a timer event every 10 ms, and return the actions."""
         acts: list[Action] = []
         end = self.now + ms
         while self.now < end:
@@ -137,7 +137,7 @@
         return acts
 
     def message(self, dest: int, cls: str = "safe", **more: Any) -> MessageArrived:
-        """A new message event, not yet handed in."""
+        """Return the arrival of a new message, without handling it."""
         self.count += 1
         expires = more.pop("expires", self.now + CLASSES[cls].deadline_ms)
         return MessageArrived(
@@ -145,26 +145,26 @@
         )
 
     def arrive(self, dest: int, cls: str = "safe", **more: Any) -> list[Action]:
-        """Hand in one message now."""
+        """Handle the arrival of a new message now."""
         return self.do(self.message(dest, cls, **more))
 
     def end(self, id_: str, outcome: Outcome = Outcome.OK, took: float = 100.0, **more: Any) -> list[Action]:
-        """Bring the outcome of the latest attempt of a message."""
+        """Handle the outcome of the latest attempt of a message."""
         return self.do(self.ended(id_, outcome, took, **more))
 
     def ended(
         self, id_: str, outcome: Outcome = Outcome.OK, took: float = 100.0, **more: Any
     ) -> AttemptEnded:
-        """The outcome event of the latest attempt of a message."""
+        """Return the outcome event of the latest attempt of a message."""
         final = more.pop("final", outcome is Outcome.OK)
         return AttemptEnded(id_, self.tries[id_], self.where[id_], outcome, took, final, **more)
 
 
 def sends(acts: list[Action]) -> list[str]:
-    """Ids of the messages sent, in order."""
+    """Return the ids of the messages for which attempts start, in order."""
     return [a.id for a in acts if isinstance(a, StartAttempt)]
 
 
 def finals(acts: list[Action]) -> list[Action]:
-    """The final answers."""
+    """Return the final answers."""
     return [a for a in acts if isinstance(a, RejectMessage | FailMessage)]
