--- a/tests/test_limits.py
+++ b/tests/test_unannounced_limits.py
@@ -1,4 +1,4 @@
-"""Unannounced limits: none is assumed until calls are rejected; then the rate grows from what was accepted."""
+"""Limits that no list announces: none is assumed until calls are rejected, then the rate follows accepted calls."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from kestreltrack.decision.rate_limit import APPROXIMATE_RATE_MARGIN, DEFAULT_RATE_PER_S
 
 
-def unlisted(**changes: Any) -> Relay:
+def sender_without_listed_rate(**changes: Any) -> Relay:
     return Relay(entry(1), **{"rate_accuracy": RateAccuracy.NONE, "concurrency_limit": 40, **changes})
 
 
@@ -33,7 +33,7 @@
     second = -1
     # The accepted calls, in the order of their end.
     ends = list[tuple[float, str]]()
-    seen = len(relay.log)
+    next_action = len(relay.log)
     until = relay.now + seconds * 1000.0
     while relay.now < until:
         relay.now += 1000.0 / offered_per_s
@@ -43,9 +43,9 @@
             capacity_left = capacity_per_s + min(0, capacity_left)
         while ends and ends[0][0] <= relay.now:
             relay.end(ends.pop(0)[1], took=50.0)
-        while seen < len(relay.log):
-            action = relay.log[seen]
-            seen += 1
+        while next_action < len(relay.log):
+            action = relay.log[next_action]
+            next_action += 1
             if not isinstance(action, StartAttempt):
                 continue
             if capacity_left > 0:
@@ -60,58 +60,58 @@
     return delivered, rejected
 
 
-def test_a_limit_that_was_never_reached_holds_nothing_back() -> None:
-    relay = unlisted()
+def test_without_rejections_no_call_is_held_back() -> None:
+    relay = sender_without_listed_rate()
     actions = relay.do(*[relay.message(1) for _ in range(25)])
-    assert len(sends(actions)) == 25  # two a second were sent, whatever the destination took
+    assert len(sends(actions)) == 25  # an assumed limit of two a second would hold most of them
 
 
-def test_an_unannounced_limit_is_found_and_respected() -> None:
-    relay = unlisted()
+def test_an_unannounced_limit_is_learnt_and_respected() -> None:
+    relay = sender_without_listed_rate()
     serve(relay, 20.0, offered_per_s=60, capacity_per_s=20)
     delivered, rejected = serve(relay, 20.0, offered_per_s=60, capacity_per_s=20)
     assert delivered >= 0.75 * 20 * 20
     assert rejected <= 0.25 * delivered
 
 
-def test_a_limit_that_is_halved_unannounced_is_followed() -> None:
-    relay = unlisted()
+def test_a_halved_limit_is_followed() -> None:
+    relay = sender_without_listed_rate()
     serve(relay, 20.0, offered_per_s=60, capacity_per_s=40)
     serve(relay, 5.0, offered_per_s=60, capacity_per_s=20)
     delivered, rejected = serve(relay, 10.0, offered_per_s=60, capacity_per_s=20)
     assert delivered >= 0.75 * 10 * 20 and rejected <= 0.25 * delivered
 
 
-def test_a_destination_whose_rejections_count_against_the_limit_keeps_delivering() -> None:
-    relay = unlisted()
+def test_messages_are_delivered_where_rejected_calls_count_towards_the_limit() -> None:
+    relay = sender_without_listed_rate()
     serve(relay, 20.0, offered_per_s=60, capacity_per_s=20, rejections_count=True)
     delivered, _ = serve(relay, 20.0, offered_per_s=60, capacity_per_s=20, rejections_count=True)
     assert delivered >= 0.7 * 20 * 20
 
 
-def test_a_limit_that_was_raised_is_found_again() -> None:
-    relay = unlisted()
+def test_a_raised_limit_is_learnt() -> None:
+    relay = sender_without_listed_rate()
     serve(relay, 20.0, offered_per_s=60, capacity_per_s=10)
     serve(relay, 20.0, offered_per_s=60, capacity_per_s=30)
     delivered, _ = serve(relay, 10.0, offered_per_s=60, capacity_per_s=30)
     assert delivered >= 0.7 * 10 * 30
 
 
-@pytest.mark.parametrize("relays", [1, 3])
-def test_an_endpoint_that_warms_up_starts_from_the_rate_it_took_before(relays: int) -> None:
-    relay = unlisted(sender_count=relays)
+@pytest.mark.parametrize("sender_count", [1, 3])
+def test_the_cold_rate_follows_the_rate_that_an_endpoint_accepted(sender_count: int) -> None:
+    relay = sender_without_listed_rate(sender_count=sender_count)
     limits = next(iter(relay.policy.destinations[1].endpoints.values())).limits[0]
-    # Nothing is known: the least.
+    # Without any accepted call the least rate applies.
     assert limits.slow_start.cold_rate_per_s == APPROXIMATE_RATE_MARGIN * DEFAULT_RATE_PER_S
     serve(relay, 5.0, offered_per_s=20, capacity_per_s=1000)
     assert (
-        0.7 * 20 * relays * APPROXIMATE_RATE_MARGIN
+        0.7 * 20 * sender_count * APPROXIMATE_RATE_MARGIN
         < limits.slow_start.cold_rate_per_s
-        < 1.4 * 20 * relays * APPROXIMATE_RATE_MARGIN
+        < 1.4 * 20 * sender_count * APPROXIMATE_RATE_MARGIN
     )
 
 
-def test_a_rate_of_the_list_or_a_load_report_goes_before_a_learnt_one() -> None:
+def test_a_listed_rate_or_a_load_report_takes_precedence_over_a_learnt_rate() -> None:
     for changes in (
         {"rate_accuracy": RateAccuracy.EXACT},
         {"rate_accuracy": RateAccuracy.NONE, "load_reports": True},
@@ -120,9 +120,9 @@
         assert len(sends(relay.do(*[relay.message(1) for _ in range(25)]))) <= 4
 
 
-def test_rejections_early_in_a_burst_are_not_taken_for_the_limit() -> None:
-    # A full queue rejected the 20th message of a start: for 20 s the destination got a fifth of what it could take.
-    relay = unlisted(queue_capacity=2000)
+def test_rejections_early_in_a_burst_do_not_set_the_learnt_limit() -> None:
+    # A full queue rejected the 20th message of a burst: for 20 s the destination got a fifth of its capacity.
+    relay = sender_without_listed_rate(queue_capacity=2000)
     relay.do(*[relay.message(1) for _ in range(20)])
     first = [action.id for action in relay.log if isinstance(action, StartAttempt)]
     relay.now += 50.0
