--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -50,7 +50,7 @@
         return Stepping(Policy(settings, seed), writer, telemetry, "n1", full_actions, file_bytes)
 
     monkeypatch.setattr(test_random, "Policy", build_recorder)
-    play = test_random.Play(seed)
+    play = test_random.RandomEventRun(seed)
     play.run(steps)
     play.policy.close(play.now)  # type: ignore[attr-defined]
     return telemetry
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -56,9 +56,11 @@
         super()._start_call(first)
 
 
-def run_random_events(seed: int, kind: type[Policy], monkeypatch: pytest.MonkeyPatch) -> test_random.Play:
+def run_random_events(
+    seed: int, kind: type[Policy], monkeypatch: pytest.MonkeyPatch
+) -> test_random.RandomEventRun:
     monkeypatch.setattr(test_random, "Policy", kind)
-    play = test_random.Play(seed)
+    play = test_random.RandomEventRun(seed)
     play.run(150)
     return play
 
--- a/tests/test_pseudonyms.py
+++ b/tests/test_pseudonyms.py
@@ -50,7 +50,7 @@
         )
 
     monkeypatch.setattr(test_random, "Policy", build_recorder)
-    play = test_random.Play(seed)
+    play = test_random.RandomEventRun(seed)
     play.run(120)
     play.policy.close(play.now)  # type: ignore[attr-defined]
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -35,32 +35,33 @@
 from kestreltrack.invariants.sender import Attempt, InvariantViolationError, MessageRecord, SenderInvariants
 
 
-class Play:
-    """Gives a decision module random but legal events, drawn with a seed."""
+class RandomEventRun:
+    """Feeds a decision module random but legal events that depend only on the seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        pick = self.random
+        rng = self.random
         self.settings = replace(
             SETTINGS,
-            concurrency_limit=pick.choice([1, 3, 8, 20]),
-            queue_capacity=pick.choice([5, 30, 200]),
-            max_attempts=pick.choice([2, 12]),
-            sender_count=pick.choice([1, 3]),
-            may_cancel=pick.random() < 0.7,
-            must_poll=pick.random() < 0.5,
-            rate_accuracy=pick.choice(list(RateAccuracy)),
-            priority_decay=pick.choice(list(PriorityDecay)),
-            requests_per_connection=pick.choice([1, 8]),
+            concurrency_limit=rng.choice([1, 3, 8, 20]),
+            queue_capacity=rng.choice([5, 30, 200]),
+            max_attempts=rng.choice([2, 12]),
+            sender_count=rng.choice([1, 3]),
+            may_cancel=rng.random() < 0.7,
+            must_poll=rng.random() < 0.5,
+            rate_accuracy=rng.choice(list(RateAccuracy)),
+            priority_decay=rng.choice(list(PriorityDecay)),
+            requests_per_connection=rng.choice([1, 8]),
         )
         self.checker = SenderInvariants(self.settings)
         self.policy = Policy(self.settings, seed)
-        self.now, self.count = 1000.0, 0
+        self.now = 1000.0
+        self.count = 0
         self.due: list[float] = []
         self.entries = [
-            EndpointEntry(f"e{d}{n}", d, kind, pick.choice(["x", "y"]), rate=pick.choice([2.0, 30.0]))
+            EndpointEntry(f"e{d}{n}", d, kind, rng.choice(["x", "y"]), rate=rng.choice([2.0, 30.0]))
             for d, kind in enumerate(["plain", "plain", "apart", "batch"])
-            for n in range(pick.choice([1, 2, 3]))
+            for n in range(rng.choice([1, 2, 3]))
         ]
         self.step([EndpointsUpdated(self.entries, complete=True, cached=True)])
 
@@ -75,54 +76,60 @@
 
     def events(self, rate: float) -> list[Event]:
         """Return some of the events that may legally happen now."""
-        pick, out = self.random, list[Event]()
+        rng = self.random
+        events = list[Event]()
         if any(t <= self.now for t in self.due):
             self.due = [t for t in self.due if t > self.now]
-            out.append(TimerExpired(0))
+            events.append(TimerExpired(0))
         for record in list(self.checker.records.values()):
             for n, attempt in enumerate(record.attempts):
                 if attempt.outcome is None:
-                    out += self.outcome(record, n, attempt)
-            if not record.final and pick.random() < 0.002:
-                out.append(MessageWithdrawn(record.event.id))
-        for _ in range(int(rate * pick.random() * 2)):
+                    events += self.outcome(record, n, attempt)
+            if not record.final and rng.random() < 0.002:
+                events.append(MessageWithdrawn(record.event.id))
+        for _ in range(int(rate * rng.random() * 2)):
             self.count += 1
-            cls = pick.choice(list(CLASSES))
-            key = pick.randrange(4) if CLASSES[cls].in_order and pick.random() < 0.9 else None
-            expires = self.now + CLASSES[cls].deadline_ms * pick.choice([0.1, 1.0])
-            out.append(MessageArrived(f"m{self.count}", pick.randrange(5), cls, expires, key))
-        if pick.random() < 0.02:
-            entry = pick.choice(self.entries)
-            out.append(
+            cls = rng.choice(list(CLASSES))
+            key = rng.randrange(4) if CLASSES[cls].in_order and rng.random() < 0.9 else None
+            expires = self.now + CLASSES[cls].deadline_ms * rng.choice([0.1, 1.0])
+            events.append(MessageArrived(f"m{self.count}", rng.randrange(5), cls, expires, key))
+        if rng.random() < 0.02:
+            entry = rng.choice(self.entries)
+            events.append(
                 EndpointsUpdated(
-                    [replace(entry, lifecycle=pick.choice(list(EndpointLifecycle)))], complete=False
+                    [replace(entry, lifecycle=rng.choice(list(EndpointLifecycle)))], complete=False
                 )
             )
-        if pick.random() < 0.01:
-            out.append(EndpointsUpdated(pick.sample(self.entries, len(self.entries) // 2), complete=True))
-        if self.settings.must_poll and pick.random() < 0.02:
-            out.append(DiscoveryFailed())
-        return out
+        if rng.random() < 0.01:
+            events.append(EndpointsUpdated(rng.sample(self.entries, len(self.entries) // 2), complete=True))
+        if self.settings.must_poll and rng.random() < 0.02:
+            events.append(DiscoveryFailed())
+        return events
 
     def outcome(self, record: MessageRecord, n: int, attempt: Attempt) -> list[Event]:
-        """Return the outcome of an attempt, or nothing yet; each endpoint hangs in periods of its own."""
-        pick, at = self.random, attempt.started_at
+        """Return the outcome of an attempt, or nothing while it is in flight; endpoints hang in different periods."""
+        rng = self.random
+        started_at = attempt.started_at
         endpoint = next(a.endpoint for a in self.sent[record.event.id][n:])
-        hung = (stable_hash(endpoint) + int(self.now / 4000)) % 4 == 0
+        hanging = (stable_hash(endpoint) + int(self.now / 4000)) % 4 == 0
         id_ = record.event.id
         if self.now >= record.event.expires:
-            return [AttemptEnded(id_, n, endpoint, Outcome.TIMED_OUT, self.now - at, record.final)]
+            return [AttemptEnded(id_, n, endpoint, Outcome.TIMED_OUT, self.now - started_at, record.final)]
         if (id_, n) in self.cancelled:
-            return [AttemptEnded(id_, n, endpoint, Outcome.CANCELLED, self.now - at, record.final)]
-        if hung or pick.random() < 0.7:
+            return [AttemptEnded(id_, n, endpoint, Outcome.CANCELLED, self.now - started_at, record.final)]
+        if hanging or rng.random() < 0.7:
             return []
-        outcome = pick.choice([Outcome.OK] * 4 + list(Outcome))
-        wait = float(pick.choice([0, 0, 700, 3000])) if outcome is Outcome.REJECTED else 0.0
-        over = record.final or outcome is Outcome.OK
-        return [AttemptEnded(id_, n, endpoint, outcome, self.now - at, over, wait, pick.random(), 9.0)]
+        outcome = rng.choice([Outcome.OK] * 4 + list(Outcome))
+        retry_after_ms = float(rng.choice([0, 0, 700, 3000])) if outcome is Outcome.REJECTED else 0.0
+        final = record.final or outcome is Outcome.OK
+        return [
+            AttemptEnded(
+                id_, n, endpoint, outcome, self.now - started_at, final, retry_after_ms, rng.random(), 9.0
+            )
+        ]
 
     def run(self, steps: int) -> None:
-        """Run these steps, then let time pass until all messages must be answered."""
+        """Make this many steps, then let time pass until each message must have its final answer."""
         self.sent: dict[str, list[StartAttempt]] = {}
         self.cancelled: set[tuple[str, int]] = set()
         for n in range(steps + 500):
@@ -137,19 +144,19 @@
 
 
 def stable_hash(text: str) -> int:
-    """Return a number of a text that does not depend on the hash seed."""
+    """Return a hash of a text that does not depend on the hash seed of the process."""
     return sum(map(ord, text))
 
 
 @pytest.mark.parametrize("seed", range(24))
 def test_random_events_violate_no_invariant(seed: int) -> None:
-    play = Play(seed)
-    play.run(400)
-    sent = sum(len(r.attempts) for r in play.checker.records.values())
-    assert sent >= 5 and all(r.final_answers <= 1 for r in play.checker.records.values())
+    event_run = RandomEventRun(seed)
+    event_run.run(400)
+    sent = sum(len(r.attempts) for r in event_run.checker.records.values())
+    assert sent >= 5 and all(r.final_answers <= 1 for r in event_run.checker.records.values())
 
 
-# Each check finds a deliberate violation ---------------------------------------------------------
+# Each check finds a deliberate violation ----------------------------------------------------------
 
 
 def checker_of_two_messages(
@@ -201,7 +208,7 @@
 
 
 @pytest.mark.parametrize(("rule", "cls", "first_outcome", "now", "actions"), VIOLATIONS)
-def test_a_violating_action_is_found(
+def test_a_violating_action_is_reported(
     rule: str, cls: str, first_outcome: Outcome | None, now: float, actions: list[Action]
 ) -> None:
     checker = checker_of_two_messages(cls)
@@ -211,7 +218,7 @@
         checker.check_actions(now, actions)
 
 
-def test_an_attempt_at_a_draining_endpoint_is_found_after_the_grace_time() -> None:
+def test_an_attempt_at_a_draining_endpoint_is_reported_after_the_grace_period() -> None:
     checker = checker_of_two_messages()
     draining = EndpointEntry("a", 0, "plain", lifecycle=EndpointLifecycle.DRAINING)
     checker.observe(0.0, EndpointsUpdated([draining], complete=False))
@@ -219,20 +226,20 @@
         checker.check_actions(1001.0, [StartAttempt("m1", "a", 1.0)])
 
 
-def test_more_calls_than_the_concurrency_limit_are_found() -> None:
+def test_more_calls_than_the_concurrency_limit_are_reported() -> None:
     checker = checker_of_two_messages(concurrency_limit=1)
     with pytest.raises(InvariantViolationError, match="concurrency limit"):
         checker.check_actions(0.0, [StartAttempt("m1", "a", 1.0), StartAttempt("m2", "b", 1.0)])
 
 
-def test_more_attempts_than_the_limit_are_found() -> None:
+def test_more_attempts_than_the_limit_are_reported() -> None:
     checker = checker_of_two_messages(max_attempts=1)
     end_first_attempt(checker, Outcome.UNREACHABLE)
     with pytest.raises(InvariantViolationError, match="more attempts"):
         checker.check_actions(200.0, [StartAttempt("m1", "a", 1.0)])
 
 
-def test_an_attempt_before_its_key_has_settled_is_found() -> None:
+def test_an_attempt_before_its_key_has_settled_is_reported() -> None:
     checker = checker_of_two_messages("ordered")
     end_first_attempt(checker, Outcome.CONNECTION_BROKEN)
     checker.check_actions(200.0, [FailMessage("m1")])
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -61,7 +61,7 @@
 
 def record_random_run(seed: int, steps: int, monkeypatch: pytest.MonkeyPatch) -> tuple[Settings, History]:
     monkeypatch.setattr(test_random, "Policy", RecordingPolicy)
-    play = test_random.Play(seed)
+    play = test_random.RandomEventRun(seed)
     play.run(steps)
     assert isinstance(play.policy, RecordingPolicy)
     return play.settings, play.policy.history
--- a/tests/test_stricter.py
+++ b/tests/test_stricter.py
@@ -65,7 +65,7 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(test_random, "SenderInvariants", Strict)
-    play = test_random.Play(seed)
+    play = test_random.RandomEventRun(seed)
     play.run(400)
     assert play.count > 200
 
