--- a/tests/test_many_senders.py
+++ b/tests/test_many_senders.py
@@ -126,7 +126,7 @@
     )
 
 
-def test_a_rejection_that_reports_a_limit_counts_for_the_destination() -> None:
+def test_a_rejection_with_a_limit_report_or_a_retry_after_counts_for_the_destination() -> None:
     for more in ({"quota_left": 0.0, "rate_limit": 20.0}, {"retry_after_ms": 300.0}):
         relay = Relay(entry(1, "a"), entry(1, "b"), sender_count=40, load_reports=True)
         relay.arrive(1, "keyed")
