--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -58,9 +58,9 @@
 
 def run_random_events(
     seed: int, policy_class: type[Policy], monkeypatch: pytest.MonkeyPatch
-) -> test_random.Play:
+) -> test_random.RandomEventRun:
     monkeypatch.setattr(test_random, "Policy", policy_class)
-    play = test_random.Play(seed)
+    play = test_random.RandomEventRun(seed)
     play.run(150)
     return play
 
