--- a/kestreltrack/testing/scenario_runner/__init__.py
+++ b/kestreltrack/testing/scenario_runner/__init__.py
@@ -1,1 +1,1 @@
-"""A scenario of the emulator played by real processes: its partners, clients and faults, on sockets."""
+"""Runs emulator scenarios with real sender processes: destinations, clients and faults use sockets."""
--- a/kestreltrack/testing/scenario_runner/endpoint_servers.py
+++ b/kestreltrack/testing/scenario_runner/endpoint_servers.py
@@ -1,7 +1,8 @@
-"""Where one sender reaches one endpoint of an emulated partner: HTTP/1.1 on a port of its own, so callers differ.
+"""HTTP/1.1 servers for the endpoints of emulated destinations.
 
-What comes is told to the listeners as the emulator's ports tell it, as far as a partner can see it: an attempt begins
-when its head has come, and is over when its answer is written or its connection ends.
+Each pair of a sender and an endpoint has its own port, which identifies the caller.  The servers emit the same events
+as the emulator's ports, as far as a destination can observe them: an attempt starts when its headers have been
+received, and ends when its response has been written or its connection is closed.
 """
 
 from __future__ import annotations
@@ -18,18 +19,17 @@
 
 HTTP_STATUS = {"ok": "200", "error": "500", "full": "503"}
 OUTCOME_NAMES = {"ok": "ok", "error": "error", "full": "refused"}
-READ_DELAY_S = (
-    0.5  # until a sender has surely read an answer: what it sends later is held against a wait told by it
-)
+# Time for a sender to read a response; only attempts after it count as violations of a retry-after in that response.
+READ_DELAY_S = 0.5
 
 
 class CallTracker:
-    """What of one sender is out, over all its doors."""
+    """Counts the attempts of one sender over all its endpoint servers."""
 
     def __init__(
         self, sender: int, find_request: Callable[[str], Request | None], emit: Callable[[Event], None]
     ) -> None:
-        """`request` is what a message is to a partner, none for an id that nobody handed in."""
+        """Create a tracker; `find_request` returns None for the id of a message that no client has submitted."""
         self.sender = sender
         self.find_request = find_request
         self.emit = emit
@@ -38,80 +38,87 @@
 
 
 class EndpointServer(LoopbackServer):
-    """One sender's way into one endpoint."""
+    """Accepts the calls of one sender to one endpoint."""
 
-    malformed_input_errors = (ValueError, KeyError)  # a header that is not there
+    malformed_input_errors = (ValueError, KeyError)  # KeyError: a missing header
 
     def __init__(self, tracker: CallTracker, endpoint: SimulatedEndpoint) -> None:
-        """Nothing listens before `listen`."""
+        """Create a server, which accepts connections only after `listen`."""
         super().__init__()
         self.tracker = tracker
         self.endpoint = endpoint
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Calls of one connection, where the endpoint takes it."""
+        """Handle the calls of one connection, or abort it if the endpoint refuses connections."""
         if not self.endpoint.connect():
             writer.transport.abort()
             return
-        new = True
+        new_connection = True
         try:
             while True:
                 _, headers, _ = await read_http(reader)
-                await self._call(headers["x-call-id"], new, reader, writer)
-                new = False
+                await self._handle_call(headers["x-call-id"], new_connection, reader, writer)
+                new_connection = False
         finally:
             self.endpoint.disconnect()
             writer.transport.abort()
 
-    async def _call(
-        self, id_: str, new: bool, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _handle_call(
+        self, id_: str, new_connection: bool, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        calls = self.tracker
+        tracker = self.tracker
         loop = asyncio.get_running_loop()
         dest = self.endpoint.destination.number
-        request = calls.find_request(id_)
+        request = tracker.find_request(id_)
         if request is None:
             raise ValueError(id_)
-        began = loop.time()
-        number = calls.attempt_counts[id_] = calls.attempt_counts.get(id_, -1) + 1
-        calls.in_flight[dest] = calls.in_flight.get(dest, 0) + 1
+        started_at = loop.time()
+        attempt = tracker.attempt_counts[id_] = tracker.attempt_counts.get(id_, -1) + 1
+        tracker.in_flight[dest] = tracker.in_flight.get(dest, 0) + 1
         uid = self.endpoint.uid
         zone = self.endpoint.zone
-        calls.emit(AttemptStarted(id_, calls.sender, dest, uid, number, calls.in_flight[dest], False, zone))
-        answer: asyncio.Future[Reply] = loop.create_future()
-        give_up = self.endpoint.call(
-            request, lambda reply: None if answer.done() else answer.set_result(reply)
+        tracker.emit(
+            AttemptStarted(id_, tracker.sender, dest, uid, attempt, tracker.in_flight[dest], False, zone)
         )
-        left = asyncio.ensure_future(
-            reader.read(1)
-        )  # the sender has one call on a connection: a byte is its end
+        response: asyncio.Future[Reply] = loop.create_future()
+        abandon = self.endpoint.call(
+            request, lambda reply: None if response.done() else response.set_result(reply)
+        )
+        # A connection has at most one call at a time, so the read completes only when the sender abandons the call.
+        disconnected = asyncio.ensure_future(reader.read(1))
         reply: Reply | None = None
         try:
-            both: set[asyncio.Future[Any]] = {answer, left}
-            await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
-            if answer.done() and not left.done() and answer.result().status != "reset":
-                reply = answer.result()
+            awaited: set[asyncio.Future[Any]] = {response, disconnected}
+            await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
+            if response.done() and not disconnected.done() and response.result().status != "reset":
+                reply = response.result()
                 writer.write(encode_reply(reply))
                 await writer.drain()
         finally:
             if reply is None:
-                give_up()
-            left.cancel()
-            await asyncio.gather(left, return_exceptions=True)
-            calls.in_flight[dest] -= 1
-            word = OUTCOME_NAMES[reply.status] if reply else "broken"
-            took = (loop.time() - began) * 1000.0
-            calls.emit(AttemptAnswered(id_, calls.sender, dest, self.endpoint.uid, word, 0.0, new, took))
+                abandon()
+            disconnected.cancel()
+            await asyncio.gather(disconnected, return_exceptions=True)
+            tracker.in_flight[dest] -= 1
+            outcome = OUTCOME_NAMES[reply.status] if reply else "broken"
+            took_ms = (loop.time() - started_at) * 1000.0
+            tracker.emit(
+                AttemptAnswered(
+                    id_, tracker.sender, dest, self.endpoint.uid, outcome, 0.0, new_connection, took_ms
+                )
+            )
         if reply is None:
             raise ConnectionResetError
         if reply.retry_after_ms > READ_DELAY_S * 1000.0:
-            left_ms = reply.retry_after_ms - READ_DELAY_S * 1000.0
-            told = AttemptAnswered("", calls.sender, dest, self.endpoint.uid, word, left_ms, False, took)
-            loop.call_later(READ_DELAY_S, calls.emit, told)
+            remaining_ms = reply.retry_after_ms - READ_DELAY_S * 1000.0
+            answered = AttemptAnswered(
+                "", tracker.sender, dest, self.endpoint.uid, outcome, remaining_ms, False, took_ms
+            )
+            loop.call_later(READ_DELAY_S, tracker.emit, answered)
 
 
 def encode_reply(reply: Reply) -> bytes:
-    """An answer as bytes, with what is left of the limit."""
+    """Encode a reply as an HTTP response, with the remaining quota and the rate limit in a load report."""
     headers = [f"Retry-After: {reply.retry_after_ms / 1000.0:.3f}"] if reply.retry_after_ms > 0 else []
     if reply.quota_left is not None and reply.rate_limit is not None:
         headers.append(f"X-Load-Report: x0={reply.quota_left:.4f},x1={reply.rate_limit:.4f}")
--- a/kestreltrack/testing/scenario_runner/process_run.py
+++ b/kestreltrack/testing/scenario_runner/process_run.py
@@ -1,7 +1,7 @@
-"""The emulator's world with real senders: its partners, clients and troubles on the real clock, faults on real links.
+"""Runs an emulator scenario with real sender processes, in real time and with faults on real links.
 
-Partners, traffic, troubles and drains are the emulator's own and drawn from the same seed; so one file plays in both,
-and both tell the same stream of what happened to the same rules and the same count of worth.
+Destinations, traffic, random faults and drains are those of the emulator, generated from the same seed.  The same
+scenario file therefore runs in both, and both emit the same kinds of events to the same invariants and scoring.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
     Event,
     FinalAnswerGiven,
     Listener,
+    MessageAccepted,
     SenderCrashed,
     SenderStarted,
 )
-from kestreltrack.invariants.events import MessageAccepted as Taken
 from kestreltrack.ports import Accepted, InvalidMessage, ListedEndpoint, Message, Rejected, SubmitResult
 from kestreltrack.sender.dispatcher import Decider
 from kestreltrack.testing.emulator.calls import Request
@@ -48,11 +48,11 @@
     RateAccuracy.EXACT: "nominal",
     RateAccuracy.APPROXIMATE: "rough",
 }
-SUBMIT_TIMEOUT_S = 5.0  # a submitter gives up on an answer
+SUBMIT_TIMEOUT_S = 5.0  # a client waits this long for the reply to a submission
 
 
 def settings_document(settings: Settings) -> dict[str, Any]:
-    """The settings as the platform's configuration gives them (the other way round of `config/settings.py`)."""
+    """Return the settings in the form of the platform's configuration; the inverse of `config/settings.py`."""
     safety = settings.safety
     return {
         "allowed": {
@@ -107,36 +107,38 @@
 
 
 class RemoteSender(SimulatedSender):
-    """A real sender, as the emulator's clients see a process."""
+    """Gives the emulator's clients access to a real sender process."""
 
     def __init__(self, load_generator: LoadGenerator, now: Callable[[], float]) -> None:
-        """`load` keeps connections to its front."""
+        """Create the sender; `load_generator` keeps connections to its client listener."""
         self.load_generator = load_generator
         self._now = now
 
     async def submit(self, message: Message) -> SubmitResult | None:
-        """Hand a message in; none where no answer comes."""
-        left = max(1, int(message.expires - self._now()))
+        """Submit a message; return None if no reply arrives."""
+        remaining_ms = max(1, int(message.expires - self._now()))
         key = f",k={message.idempotency_key}" if message.idempotency_key else ""
-        names = f"c={message.cls},t={message.tenant or ''},d={left},dest={message.dest}{key}"
+        fields = f"c={message.cls},t={message.tenant or ''},d={remaining_ms},dest={message.dest}{key}"
         try:
             async with asyncio.timeout(SUBMIT_TIMEOUT_S):
-                word, *rest = (
+                status, *arguments = (
                     await self.load_generator.request(
-                        encode_command("SUBMIT", "0" * 16, message.id, names, "x" * 300)
+                        encode_command("SUBMIT", "0" * 16, message.id, fields, "x" * 300)
                     )
                 ).split()
-        except (OSError, asyncio.IncompleteReadError, ValueError):  # a time-out is an OSError
+        except (OSError, asyncio.IncompleteReadError, ValueError):  # TimeoutError is an OSError
             return None
-        if word == "+OK":
+        if status == "+OK":
             return Accepted()
         return (
-            Rejected(float(rest[0]) if rest else None) if word == "-BUSY" else InvalidMessage(" ".join(rest))
+            Rejected(float(arguments[0]) if arguments else None)
+            if status == "-BUSY"
+            else InvalidMessage(" ".join(arguments))
         )
 
 
 class ProcessRun(Simulation):
-    """One run on real processes."""
+    """One run of a scenario with real sender processes."""
 
     def __init__(
         self,
@@ -147,12 +149,12 @@
         decider: Callable[[int, Policy], Decider] | None = None,
         sender_count: int | None = None,
     ) -> None:
-        """Draws the day as the emulator does; nothing runs before `play`."""
+        """Generate the day as the emulator does; nothing is started before `run`."""
         self._started_at = time.monotonic()
         super().__init__(scenario, seed, folder, (*listeners, self._on_event), decider, sender_count)
         fleet = scenario.fleet
         zones = scenario.fleet.zones
-        more = {"KESTRELTRACK_FLEET_LEND": "true"} if fleet.talk else {}
+        extra_variables = {"KESTRELTRACK_FLEET_LEND": "true"} if fleet.talk else {}
         self.fleet = Fleet(
             folder,
             settings_document(self.settings),
@@ -160,19 +162,19 @@
             zones,
             seed,
             1000.0,
-            extra_variables=more,
+            extra_variables=extra_variables,
             fleet_enabled=fleet.talk,
             captures_enabled=True,
         )
         for n, sender in enumerate(self.fleet.senders.values()):
             sender.clock_rate = fleet.clocks[n % len(fleet.clocks)]
         self.fleet.links.groups["partners"] = {f"p{n}" for n in self.destinations}
-        self._call_trackers = [CallTracker(n, self._request_of, self.emit) for n in range(fleet.senders)]
+        self._call_trackers = [CallTracker(n, self._find_request, self.emit) for n in range(fleet.senders)]
         self._endpoint_servers = dict[tuple[int, str], tuple[EndpointServer, TcpProxy]]()
-        self._pending = set[tuple[str, int]]()  # messages, with the senders that have taken them on
-        self._notified = dict[
-            str, tuple[int, str]
-        ]()  # ends of messages by notices: one told again is one end
+        # Messages without a final answer, each with a sender that has accepted it.
+        self._pending = set[tuple[str, int]]()
+        # The last status notification of each message, to ignore repeated ones.
+        self._notified = dict[str, tuple[int, str]]()
         notice_s = scenario.directory.notice_s
         self._propagation_delays_s = [
             self.random_streams.sampler(notice_s, "notice", n, 0) for n in range(fleet.senders)
@@ -180,45 +182,50 @@
         self._publishing_tasks = set[asyncio.Task[None]]()
 
     def now(self) -> float:
-        """Milliseconds since the beginning."""
+        """Return the time since the start of the run, in milliseconds."""
         return (time.monotonic() - self._started_at) * 1000.0
 
     def _on_event(self, now: float, event: Event) -> None:
-        if isinstance(event, Taken):
-            self._pending.add(
-                (event.id, event.sender)
-            )  # a client without an answer hands in elsewhere as well
+        if isinstance(event, MessageAccepted):
+            # Several senders can accept one message: a client that gets no reply submits it to another sender, too.
+            self._pending.add((event.id, event.sender))
             self._notified.pop(event.id, None)
         elif isinstance(event, FinalAnswerGiven) or (
             isinstance(event, AttemptAnswered) and event.outcome == "ok"
         ):
             self._pending.discard((event.id, event.sender))
 
-    def _request_of(self, id_: str) -> Request | None:
-        wanted = self.clients.requests.get(id_)
-        if wanted is None:
+    def _find_request(self, id_: str) -> Request | None:
+        request = self.clients.requests.get(id_)
+        if request is None:
             return None
-        return Request(id_, wanted.work_ms, wanted.cls.effect == "keyed", 0, wanted.cls.scope == "zone")
+        return Request(id_, request.work_ms, request.cls.effect == "keyed", 0, request.cls.scope == "zone")
 
-    # Senders, and their ways to partners and list --------------------------------------------------
+    # Senders, and their connections to destinations and the endpoint list ---------------------------
 
     def links(self) -> Links:
-        """All of them."""
+        """Return the links between senders, destinations, endpoint list and clients."""
         return self.fleet.links
 
     def check_faults(self) -> None:
-        """All are played here; raises `BadScenario` for names that nobody has."""
+        """Check that the scenario can be run with processes.
+
+        Raises:
+            InvalidScenarioError: It has batches, or a fault has an unknown name.
+        """
         if any(kind.batch > 1 for kind in self.scenario.kind):
-            raise InvalidScenarioError("kind.batch: calls of many messages are played in simulated time only")
+            raise InvalidScenarioError("kind.batch: batches are supported in simulated time only")
         groups = self.fleet.links.groups
         names = {"*", "list", "front", *self.fleet.names, *groups, *groups["partners"]}
         for fault in self.scenario.fault:
             for name in (*fault.between, *fault.who):
                 if name not in names:
-                    raise InvalidScenarioError(f"fault: {name} is the name of nobody here")
+                    raise InvalidScenarioError(
+                        f"fault: {name} is not the name of a sender, a destination or a group"
+                    )
 
     async def start_all(self) -> None:
-        """Start all senders; returns once each is ready and knows its list."""
+        """Start all senders; return once each is ready and has its endpoint list."""
         self.check_faults()
         for n, name in enumerate(self.fleet.names):
             platform = self.fleet.platforms[name]
@@ -242,16 +249,16 @@
         self.emit(SenderStarted(sender, 0))
 
     async def _open_endpoint_server(self, sender: int, endpoint: SimulatedEndpoint) -> None:
-        door = EndpointServer(self._call_trackers[sender], endpoint)
-        await door.listen()
-        relay = TcpProxy(
+        server = EndpointServer(self._call_trackers[sender], endpoint)
+        await server.listen()
+        proxy = TcpProxy(
             self.fleet.links,
             self.fleet.names[sender],
             f"p{endpoint.destination.number}",
-            lambda: door.address,
+            lambda: server.address,
         )
-        await relay.listen()
-        self._endpoint_servers[sender, endpoint.uid] = door, relay
+        await proxy.listen()
+        self._endpoint_servers[sender, endpoint.uid] = server, proxy
 
     def _endpoint_row(self, sender: int, endpoint: ListedEndpoint) -> dict[str, Any]:
         return {
@@ -266,7 +273,7 @@
         }
 
     def on_list_change(self, sender: int, endpoint: ListedEndpoint) -> None:
-        """A change of the list, as late as this sender is told of it."""
+        """Publish a change of the endpoint list to a sender after its propagation delay."""
         task = asyncio.create_task(self._publish_change(sender, endpoint))
         self._publishing_tasks.add(task)
         task.add_done_callback(self._publishing_tasks.discard)
@@ -278,7 +285,7 @@
         self.fleet.platforms[self.fleet.names[sender]].publish(self._endpoint_row(sender, endpoint))
 
     def _on_list_sent(self, sender: int, rows: list[dict[str, Any]]) -> None:
-        """Entries were written; whether a link that is cut brings them is not known, and nothing rests on it."""
+        """Emit what a sender has learned from list entries; entries written to a cut link are not counted."""
         if not self.links().stream_fault("list", self.fleet.names[sender]).cut:
             for row in rows:
                 self.emit(EndpointStateLearned(sender, row["uid"], row["state"]))
@@ -287,83 +294,85 @@
         if self._notified.get(row["message"]) == (sender, row["outcome"]):
             return
         self._notified[row["message"]] = sender, row["outcome"]
-        back = row["outcome"] == "handed_back"
-        wait = float(row.get("retry_in_ms", 0.0))
-        self.emit(FinalAnswerGiven(row["message"], sender, "refused" if back else "failed", wait))
-        if back:
-            self.clients.on_nack(row["message"], wait)
+        handed_back = row["outcome"] == "handed_back"
+        retry_in_ms = float(row.get("retry_in_ms", 0.0))
+        self.emit(
+            FinalAnswerGiven(row["message"], sender, "refused" if handed_back else "failed", retry_in_ms)
+        )
+        if handed_back:
+            self.clients.on_nack(row["message"], retry_in_ms)
 
-    # What goes wrong -------------------------------------------------------------------------------
+    # Faults ----------------------------------------------------------------------------------------
 
     async def crash(self, sender: int, away_s: float) -> None:
-        """A process is killed, and started again after a while."""
-        await self._take_down(sender, away_s, SIGKILL, False)
+        """Kill a sender's process, and start it again after `away_s` seconds."""
+        await self._restart(sender, away_s, SIGKILL, False)
 
-    async def _take_down(self, sender: int, away_s: float, number: Any, emptied: bool) -> None:
+    async def _restart(self, sender: int, away_s: float, signal_number: Any, empty_folder: bool) -> None:
         if self.processes[sender] is None:
             return
         name = self.fleet.names[sender]
-        if number is SIGKILL:
+        if signal_number is SIGKILL:
             self.processes[sender] = None
             self.emit(SenderCrashed(sender))
             self.loop.call_later(self._failure_detection_s(), self._mark_dead, sender)
-        else:  # it ends what it has, and takes on nothing more
+        else:  # it finishes its attempts and accepts no more messages
             self.ingress.known_dead.add(sender)
-        await self.fleet.signal([name], number)
+        await self.fleet.signal([name], signal_number)
         await self.fleet.wait_ended(self.fleet.senders[name])
-        if number is not SIGKILL:
+        if signal_number is not SIGKILL:
             self.processes[sender] = None
             self.emit(SenderCrashed(sender))
         await asyncio.sleep(away_s)
-        await self.fleet.start(name, emptied)
+        await self.fleet.start(name, empty_folder)
         self._mark_started(sender)
 
     async def inject_process_fault(self, sender: int, table: TargetedFaultTable) -> None:
-        """A fault on a sender's process, to its end."""
+        """Inject a fault into a sender's process, and return when the fault has ended."""
         if table.process == "pause":
             await self.fleet.signal([self.fleet.names[sender]], SIGSTOP)
             await asyncio.sleep(table.for_s)
             await self.fleet.signal([self.fleet.names[sender]], SIGCONT)
         else:
-            await self._take_down(
+            await self._restart(
                 sender, table.for_s, SIGKILL if table.process == "kill" else SIGTERM, table.emptied
             )
 
-    async def registry_outage(self, lasts: float) -> None:
+    async def registry_outage(self, duration_s: float) -> None:
         self.links().inject("senders", "list", LinkFault(cut=True))
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration_s)
         self.links().heal("senders", "list")
 
-    # The end ---------------------------------------------------------------------------------------
+    # Shutdown --------------------------------------------------------------------------------------
 
     def has_pending_messages(self) -> bool:
-        """Whether something that was taken on has no end."""
+        """Return whether any accepted message has no final answer."""
         return bool(self._pending)
 
     async def stop_all(self) -> None:
-        """End all that was started."""
+        """Stop all senders at the end of the run."""
         await self.close()
 
     async def close(self) -> None:
-        """Whatever state it is in."""
+        """Stop all processes and servers; can be called in any state of the run."""
         for task in self._publishing_tasks:
             task.cancel()
         await self.fleet.close()
-        for door, relay in self._endpoint_servers.values():
-            relay.close()
-            door.close()
+        for server, proxy in self._endpoint_servers.values():
+            proxy.close()
+            server.close()
 
     def counters(self) -> dict[str, int]:
-        """What the senders counted, as their logs last told."""
-        found = dict[str, int]()
+        """Return the sums of the senders' counters, as last written to their logs."""
+        totals = dict[str, int]()
         for sender in self.fleet.senders.values():
             for name, count in sender.counters.items():
-                found[name] = found.get(name, 0) + count
-        return found
+                totals[name] = totals.get(name, 0) + count
+        return totals
 
 
 class _RegistrySubscriber:
-    """Hears of changes of the list for one sender."""
+    """Receives the changes of the endpoint list for one sender."""
 
     def __init__(self, run: ProcessRun, sender: int) -> None:
         self.run = run
@@ -374,7 +383,7 @@
 
 
 def process_runner(folder: Path) -> Callable[..., Simulation]:
-    """What plays a scenario on real processes, whose files and logs lie in the folder."""
+    """Return a function that runs a scenario with real processes, which keep their files and logs in `folder`."""
 
     def run(
         scenario: Scenario,
@@ -384,16 +393,16 @@
         sender_count: int | None = None,
         on_created: Callable[[Simulation], None] | None = None,
     ) -> Simulation:
-        async def play() -> Simulation:
-            day = ProcessRun(scenario, seed, folder, listeners, decider, sender_count)
+        async def run_to_end() -> Simulation:
+            process_run = ProcessRun(scenario, seed, folder, listeners, decider, sender_count)
             if on_created:
-                on_created(day)
+                on_created(process_run)
             try:
-                await day.run()
+                await process_run.run()
             finally:
-                await day.close()
-            return day
+                await process_run.close()
+            return process_run
 
-        return asyncio.run(play())
+        return asyncio.run(run_to_end())
 
     return run
--- a/tests/test_sites.py
+++ b/tests/test_bench_sites.py
@@ -1,4 +1,4 @@
-"""Sites for the bench from overlays: the overlay's values, all else as it was, and no key that the site lacks."""
+"""Sites for the bench, built from overlays: an overlay replaces values of the base site and cannot add keys."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-SITE = """
+BASE_SITE = """
 name = "given"
 wire = "wire.json"
 
@@ -47,12 +47,12 @@
 """
 
 
-def built(tmp_path: Path, overlay: str) -> subprocess.CompletedProcess[str]:
-    """The command of `make sites` on the small site and one overlay."""
+def run_build(tmp_path: Path, overlay: str) -> subprocess.CompletedProcess[str]:
+    """Run the build command on the small base site and one overlay."""
     given, overlays = tmp_path / "given", tmp_path / "overlays"
     given.mkdir()
     overlays.mkdir()
-    (given / "site.toml").write_text(SITE)
+    (given / "site.toml").write_text(BASE_SITE)
     for name in ("real.json", "wire.json", "unlock.txt"):
         (given / name).write_text(name)
     (overlays / "mine.toml").write_text(overlay)
@@ -61,42 +61,43 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def site(tmp_path: Path, overlay: str) -> dict[str, Any]:
-    done = built(tmp_path, overlay)
-    assert done.returncode == 0, done.stderr
+def build_site(tmp_path: Path, overlay: str) -> dict[str, Any]:
+    process = run_build(tmp_path, overlay)
+    assert process.returncode == 0, process.stderr
     return tomllib.loads((tmp_path / "mine.toml").read_text())
 
 
-def test_an_overlay_changes_what_it_names_and_nothing_else(tmp_path: Path) -> None:
-    made = site(
+def test_overlay_changes_only_the_values_that_it_names(tmp_path: Path) -> None:
+    built = build_site(
         tmp_path,
         'name = "mine"\n[goal]\nworst = 0.5\n[tier.first.conn]\nstreams = 1\n'
         '[tier.first.kind.large]\nname = "port \\"A\\""\ndrops = false\n',
     )
-    want = tomllib.loads(SITE)
-    want["name"] = "mine"
-    want["goal"]["worst"] = 0.5
-    want["tier"][0]["conn"]["streams"] = 1
-    want["tier"][0]["kind"][0] |= {"name": 'port "A"', "drops": False}  # a key that only its sibling had
-    assert made == want
+    expected = tomllib.loads(BASE_SITE)
+    expected["name"] = "mine"
+    expected["goal"]["worst"] = 0.5
+    expected["tier"][0]["conn"]["streams"] = 1
+    # In the base site, only the other kind has `drops`.
+    expected["tier"][0]["kind"][0] |= {"name": 'port "A"', "drops": False}
+    assert built == expected
     for name in ("real.json", "wire.json", "unlock.txt"):
-        assert (tmp_path / name).read_text() == name, "what the bench wants beside a site"
+        assert (tmp_path / name).read_text() == name, "the bench needs the files beside the site"
 
 
-def test_a_list_of_tables_takes_the_place_of_the_whole_list(tmp_path: Path) -> None:
+def test_list_of_tables_replaces_the_complete_list(tmp_path: Path) -> None:
     rows = '[[class]]\nname = "a"\naim_ms = 5\neffect = "safe"\n[[class]]\nname = "b"\nwindow_ms = 1000\n'
-    made = site(tmp_path, rows)
-    assert made["class"] == [
+    built = build_site(tmp_path, rows)
+    assert built["class"] == [
         {"name": "a", "aim_ms": 5, "effect": "safe"},
         {"name": "b", "window_ms": 1000},
     ]
-    assert {k: v for k, v in made.items() if k != "class"} == {
-        k: v for k, v in tomllib.loads(SITE).items() if k != "class"
+    assert {key: value for key, value in built.items() if key != "class"} == {
+        key: value for key, value in tomllib.loads(BASE_SITE).items() if key != "class"
     }
 
 
 @pytest.mark.parametrize(
-    ("overlay", "named"),
+    ("overlay", "rejected_key"),
     [
         ("nmae = 'mine'", "nmae"),
         ("[goal]\nwholly = 1", "goal.wholly"),
@@ -113,14 +114,16 @@
         ("name =", "mine.toml"),
     ],
 )
-def test_what_does_not_fit_the_site_is_refused_by_name(tmp_path: Path, overlay: str, named: str) -> None:
-    done = built(tmp_path, overlay)
-    assert done.returncode == 2 and done.stderr.startswith("mine.toml: ")
-    assert named in done.stderr and len(done.stderr.splitlines()) == 1
-    assert not (tmp_path / "mine.toml").exists(), "no site is left that an overlay did not reach"
+def test_overlay_that_does_not_fit_the_base_site_is_rejected_by_key(
+    tmp_path: Path, overlay: str, rejected_key: str
+) -> None:
+    process = run_build(tmp_path, overlay)
+    assert process.returncode == 2 and process.stderr.startswith("mine.toml: ")
+    assert rejected_key in process.stderr and len(process.stderr.splitlines()) == 1
+    assert not (tmp_path / "mine.toml").exists(), "a rejected overlay must leave no site"
 
 
-def test_the_kept_overlays_are_toml_with_a_name_of_their_own() -> None:
+def test_stored_overlays_are_valid_toml_and_named_after_their_file() -> None:
     overlays = sorted((ROOT / "deploy/sites/overlays").glob("*.toml"))
     assert len(overlays) >= 2
     for file in overlays:
