--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The packages import one another as docs/architecture.md says, in both directions: no more and no less."""
+"""The packages import exactly the packages that the table in docs/architecture.md lists for them."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "kestreltrack"
 PAGE = ROOT / "docs" / "architecture.md"
-GROUPS = ("fleet", "testing")  # listed by their subpackages
-TOP_LEVEL = "(root)"  # what stands in kestreltrack/__init__.py
+GROUPS = ("fleet", "testing")  # their subpackages are listed one by one
+TOP_LEVEL = "(root)"  # the code in kestreltrack/__init__.py
 
 
 def module_name(path: Path) -> str:
@@ -19,7 +19,7 @@
 
 
 def package_of(module: str) -> str:
-    """Return the package, as the page names it, that a module belongs to."""
+    """Return the package of a module, under its name in the documented table."""
     parts = module.split(".")[1:]
     if not parts:
         return TOP_LEVEL
@@ -27,7 +27,7 @@
 
 
 def imported_modules(path: Path, modules: set[str]) -> set[str]:
-    """Return the modules of the project that a file imports, wherever in its text it does."""
+    """Return the modules of the project that a file imports, also inside functions."""
     found = set[str]()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -49,7 +49,7 @@
 
 
 def documented_imports() -> dict[str, set[str]]:
-    """Return the table of the page."""
+    """Return the imports of each package, as listed in the table of the page."""
     table = PAGE.read_text(encoding="utf-8").partition("<!-- imports:begin -->")[2]
     rows = table.partition("<!-- imports:end -->")[0].strip().splitlines()[2:]
     imports = dict[str, set[str]]()
@@ -59,12 +59,12 @@
     return imports
 
 
-def test_packages_import_what_the_page_says_and_nothing_else() -> None:
+def test_packages_import_exactly_what_the_page_lists() -> None:
     actual = {package: names for package, names in actual_imports().items() if package not in GROUPS}
     assert documented_imports() == actual
 
 
-def test_the_page_orders_packages_so_that_each_imports_only_what_stands_below_it() -> None:
+def test_each_package_imports_only_packages_listed_below_it() -> None:
     imports = documented_imports()
     order = {package: position for position, package in enumerate(imports)}
     upward = [
@@ -76,7 +76,7 @@
     assert not upward
 
 
-def test_a_check_that_sees_no_import_would_prove_nothing() -> None:
+def test_imports_are_found_and_the_decision_package_has_none() -> None:
     imports = actual_imports()
     assert "decision" in imports["sender"]
-    assert not imports["decision"], "the pure core stands on nothing"
+    assert not imports["decision"], "the decision package must import no other package"
--- a/tests/test_virtual_time.py
+++ b/tests/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""The event loop on a virtual clock: it moves on only when nothing else can be done."""
+"""The event loop in virtual time: its clock advances only when no task can run."""
 
 from __future__ import annotations
 
