--- a/kestreltrack/testing/scenario_runner/process_run.py
+++ b/kestreltrack/testing/scenario_runner/process_run.py
@@ -201,7 +201,7 @@
             return None
         return Request(id_, request.work_ms, request.cls.effect == "keyed", 0, request.cls.scope == "zone")
 
-    # Senders, and their connections to destinations and the endpoint list ---------------------------
+    # Senders, and their connections to destinations and the endpoint list --------------------------
 
     def links(self) -> Links:
         """Return the links between senders, destinations, endpoint list and clients."""
@@ -285,7 +285,10 @@
         self.fleet.platforms[self.fleet.names[sender]].publish(self._endpoint_row(sender, endpoint))
 
     def _on_list_sent(self, sender: int, rows: list[dict[str, Any]]) -> None:
-        """Emit what a sender has learned from list entries; entries written to a cut link are not counted."""
+        """Emit what a sender has learned from list entries.
+
+        Entries written to a cut link are left out: whether they arrive is unknown, and no check depends on it.
+        """
         if not self.links().stream_fault("list", self.fleet.names[sender]).cut:
             for row in rows:
                 self.emit(EndpointStateLearned(sender, row["uid"], row["state"]))
--- a/tests/test_bench_sites.py
+++ b/tests/test_bench_sites.py
@@ -49,7 +49,8 @@
 
 def run_build(tmp_path: Path, overlay: str) -> subprocess.CompletedProcess[str]:
     """Run the build command on the small base site and one overlay."""
-    given, overlays = tmp_path / "given", tmp_path / "overlays"
+    given = tmp_path / "given"
+    overlays = tmp_path / "overlays"
     given.mkdir()
     overlays.mkdir()
     (given / "site.toml").write_text(BASE_SITE)
@@ -118,8 +119,10 @@
     tmp_path: Path, overlay: str, rejected_key: str
 ) -> None:
     process = run_build(tmp_path, overlay)
-    assert process.returncode == 2 and process.stderr.startswith("mine.toml: ")
-    assert rejected_key in process.stderr and len(process.stderr.splitlines()) == 1
+    assert process.returncode == 2
+    assert process.stderr.startswith("mine.toml: ")
+    assert rejected_key in process.stderr
+    assert len(process.stderr.splitlines()) == 1
     assert not (tmp_path / "mine.toml").exists(), "a rejected overlay must leave no site"
 
 
--- a/tests/test_scenario_runner.py
+++ b/tests/test_scenario_runner.py
@@ -117,9 +117,11 @@
     emulated = run_scenario(loaded, 1)
     real = run_scenario(loaded, 1, runner=process_runner(tmp_path / "processes"))
     for result in (emulated, real):
-        assert result.check_counts["one final answer"] > 60 and result.event_counts["SenderCrashed"] == 1
+        assert result.check_counts["one final answer"] > 60
+        assert result.event_counts["SenderCrashed"] == 1
         assert not order_violations(result, tmp_path / "processes")
-        assert result.score.messages > 60 and result.score.on_time > 0.5 * result.score.messages
+        assert result.score.messages > 60
+        assert result.score.on_time > 0.5 * result.score.messages
     assert real.as_dict().keys() == emulated.as_dict().keys()
 
 
@@ -130,7 +132,8 @@
     with pytest.raises(InvalidScenarioError, match=r"fleet\.clocks"):
         run_scenario(loaded, 2)
     result = run_scenario(loaded, 2, runner=process_runner(tmp_path / "processes"))
-    assert result.check_counts["one final answer"] > 60 and result.event_counts["SenderCrashed"] == 2
+    assert result.check_counts["one final answer"] > 60
+    assert result.event_counts["SenderCrashed"] == 2
     assert not order_violations(result, tmp_path / "processes")
 
 
@@ -153,11 +156,9 @@
         3,
         runner=process_runner(tmp_path / "processes"),
     )
-    assert (
-        result.check_counts["one final answer"] > 60
-        and result.event_counts["SenderCrashed"] == 6
-        and result.event_counts["SenderStarted"] == 12
-    )
+    assert result.check_counts["one final answer"] > 60
+    assert result.event_counts["SenderCrashed"] == 6
+    assert result.event_counts["SenderStarted"] == 12
     assert not order_violations(result, tmp_path / "processes")
 
 
@@ -188,7 +189,8 @@
         )
 
     shrunk = shrink(loaded, still_fails, lambda text: None)
-    assert [fault.between for fault in shrunk.fault] == [("s1", "partners")] and len(shrunk.trouble) == 1
+    assert [fault.between for fault in shrunk.fault] == [("s1", "partners")]
+    assert len(shrunk.trouble) == 1
     options = dict(text.split("=", 1) for text in set_options(shrunk))
     reloaded = load_scenario(
         str(write_scenario(tmp_path)), {key: json.loads(value) for key, value in options.items()}
