--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -68,8 +68,10 @@
 def test_listed_failure_is_run_printed_and_passed_over(pytester: pytest.Pytester) -> None:
     write_project(pytester, f"# why\n\n{ENTRY}")
     code, out = run_project(pytester)
-    assert code == 0 and out.splitlines()[-1].startswith("2 passed, 1 xfailed in "), out
-    assert "passed over, by KNOWN-RED.txt" in out and ENTRY.strip() in out
+    assert code == 0, out
+    assert out.splitlines()[-1].startswith("2 passed, 1 xfailed in "), out
+    assert "passed over, by KNOWN-RED.txt" in out
+    assert ENTRY.strip() in out
     assert "failed in call: assert 1 == 2" in out
 
 
@@ -77,7 +79,9 @@
 def test_without_entries_a_failure_fails_the_run(pytester: pytest.Pytester, listed: str | None) -> None:
     write_project(pytester, listed)
     code, out = run_project(pytester)
-    assert code == 1 and "1 failed, 2 passed" in out and "passed over" not in out
+    assert code == 1
+    assert "1 failed, 2 passed" in out
+    assert "passed over" not in out
 
 
 @pytest.mark.parametrize("listed", [None, "", "# nothing\n\n"])
@@ -86,20 +90,25 @@
 ) -> None:
     write_project(pytester, listed, PASSING_TEST)
     code, out = run_project(pytester)
-    assert code == 0 and "2 passed" in out and "passed over" not in out
+    assert code == 0
+    assert "2 passed" in out
+    assert "passed over" not in out
 
 
 def test_unlisted_failure_fails_the_run_despite_a_listed_one(pytester: pytest.Pytester) -> None:
     write_project(pytester, ENTRY, FAILING_TEST + "def test_new(): assert 0\n")
     code, out = run_project(pytester)
-    assert code == 1 and "1 failed, 1 passed, 1 xfailed" in out
-    assert "FAILED tests/test_a.py::test_new" in out and ENTRY.strip() in out
+    assert code == 1
+    assert "1 failed, 1 passed, 1 xfailed" in out
+    assert "FAILED tests/test_a.py::test_new" in out
+    assert ENTRY.strip() in out
 
 
 def test_listed_test_that_passes_fails_the_run(pytester: pytest.Pytester) -> None:
     write_project(pytester, ENTRY, "def test_red(): pass\n")
     code, out = run_project(pytester)
-    assert code == 1 and "[XPASS(strict)] one is not two (issue 35)" in out
+    assert code == 1
+    assert "[XPASS(strict)] one is not two (issue 35)" in out
     assert "1 failed, 1 passed" in out
 
 
@@ -110,12 +119,14 @@
         VARIOUS_TESTS,
     )
     code, out = run_project(pytester, "-k", "test_some")
-    assert code == 0 and "1 passed, 4 deselected, 1 xfailed" in out
+    assert code == 0
+    assert "1 passed, 4 deselected, 1 xfailed" in out
     (pytester.path / "KNOWN-RED.txt").write_text(
         f"tests/test_a.py::test_some[1] | {COMMAND} | wrong case | issue 1\n"
     )
     code, out = run_project(pytester, "-k", "test_some")
-    assert code == 1 and "2 failed" in out
+    assert code == 1
+    assert "2 failed" in out
 
 
 def test_setup_error_is_passed_over_only_if_listed(pytester: pytest.Pytester) -> None:
@@ -123,10 +134,12 @@
         pytester, f"tests/test_a.py::test_setup | {COMMAND} | the fixture is gone | issue 2\n", VARIOUS_TESTS
     )
     code, out = run_project(pytester, "-k", "test_setup")
-    assert code == 0 and "failed in setup: OSError: no fixture" in out
+    assert code == 0
+    assert "failed in setup: OSError: no fixture" in out
     (pytester.path / "KNOWN-RED.txt").write_text("")
     code, out = run_project(pytester, "-k", "test_setup")
-    assert code == 1 and "1 error" in out
+    assert code == 1
+    assert "1 error" in out
 
 
 def test_listed_test_that_is_skipped_fails_the_run(pytester: pytest.Pytester) -> None:
@@ -134,13 +147,16 @@
         pytester, f"tests/test_a.py::test_skipped | {COMMAND} | never shown | issue 3\n", VARIOUS_TESTS
     )
     code, out = run_project(pytester, "-k", "test_skipped")
-    assert code == 1 and "1 failed" in out and "listed in KNOWN-RED.txt and skipped" in out
+    assert code == 1
+    assert "1 failed" in out
+    assert "listed in KNOWN-RED.txt and skipped" in out
 
 
 def test_own_xfail_mark_does_not_prevent_a_listed_test_from_running(pytester: pytest.Pytester) -> None:
     write_project(pytester, f"tests/test_a.py::test_own | {COMMAND} | mended | issue 4\n", VARIOUS_TESTS)
     code, out = run_project(pytester, "-k", "test_own")
-    assert code == 1 and "[XPASS(strict)] mended (issue 4)" in out
+    assert code == 1
+    assert "[XPASS(strict)] mended (issue 4)" in out
 
 
 ENTRY_OF_MISSING_TEST = f"tests/test_a.py::test_gone | {COMMAND} | renamed | issue 5\n"
@@ -153,7 +169,8 @@
     write_project(pytester, ENTRY + ENTRY_OF_MISSING_TEST)
     code, out = run_project(pytester, *args)
     assert code == pytest.ExitCode.USAGE_ERROR
-    assert "KNOWN-RED.txt: no such test: tests/test_a.py::test_gone" in out and "test_red" not in out
+    assert "KNOWN-RED.txt: no such test: tests/test_a.py::test_gone" in out
+    assert "test_red" not in out
     assert "no tests ran in " in out
 
 
@@ -166,14 +183,17 @@
 ) -> None:
     write_project(pytester, ENTRY + ENTRY_OF_MISSING_TEST)
     code, out = run_project(pytester, *args)
-    assert code == 0 and "1 passed" in out and "passed over" not in out
+    assert code == 0
+    assert "1 passed" in out
+    assert "passed over" not in out
 
 
 def test_collection_error_is_not_reported_as_a_missing_test(pytester: pytest.Pytester) -> None:
     write_project(pytester, ENTRY, "import nothing_of_this_name\n")
     code, out = run_project(pytester)
     assert code == pytest.ExitCode.INTERRUPTED
-    assert "ERROR tests/test_a.py" in out and "no such test" not in out
+    assert "ERROR tests/test_a.py" in out
+    assert "no such test" not in out
 
 
 def test_each_of_many_entries_covers_only_its_own_test(pytester: pytest.Pytester) -> None:
@@ -181,9 +201,12 @@
     lines = [f"tests/test_a.py::test_{n} | {COMMAND} | nought | issue {n}\n" for n in range(4)]
     write_project(pytester, "# a comment\n" + "".join(lines), tests)
     code, out = run_project(pytester, "-k", "not test_4")
-    assert code == 0 and "4 xfailed" in out and all(line.strip() in out for line in lines)
+    assert code == 0
+    assert "4 xfailed" in out
+    assert all(line.strip() in out for line in lines)
     code, out = run_project(pytester)
-    assert code == 1 and "1 failed, 1 passed, 4 xfailed" in out
+    assert code == 1
+    assert "1 failed, 1 passed, 4 xfailed" in out
 
 
 @pytest.mark.parametrize(
@@ -200,8 +223,10 @@
 ) -> None:
     write_project(pytester, INTERMITTENT_ENTRY, PASSING_TEST + test)
     code, out = run_project(pytester, *(WORKER_OPTIONS if workers else ()))
-    assert code == 0 and f"2 passed, {count}" in out, out
-    assert INTERMITTENT_ENTRY.strip() in out and printed in out
+    assert code == 0, out
+    assert f"2 passed, {count}" in out, out
+    assert INTERMITTENT_ENTRY.strip() in out
+    assert printed in out
 
 
 @pytest.mark.parametrize(
@@ -218,7 +243,8 @@
 ) -> None:
     write_project(pytester, INTERMITTENT_ENTRY, test)
     code, out = run_project(pytester)
-    assert code not in (0, pytest.ExitCode.INTERNAL_ERROR) and error in out, out
+    assert code not in (0, pytest.ExitCode.INTERNAL_ERROR), out
+    assert error in out, out
 
 
 @pytest.mark.parametrize(
@@ -249,7 +275,8 @@
 def test_malformed_line_fails_the_run(pytester: pytest.Pytester, line: str) -> None:
     write_project(pytester, line + "\n")
     code, out = run_project(pytester)
-    assert code == pytest.ExitCode.USAGE_ERROR and "no tests ran in " in out
+    assert code == pytest.ExitCode.USAGE_ERROR
+    assert "no tests ran in " in out
     number = len(line.splitlines())
     assert f"KNOWN-RED.txt:{number}: " in out
 
@@ -264,8 +291,10 @@
 ) -> None:
     write_project(pytester, ENTRY, grouped + PASSING_TEST + FAILING_TEST)
     code, out = run_project(pytester, *WORKER_OPTIONS)
-    assert code == 0 and out.splitlines()[-1].startswith("2 passed, 1 xfailed in "), out
-    assert "passed over, by KNOWN-RED.txt" in out and out.count(ENTRY.strip()) == 1
+    assert code == 0, out
+    assert out.splitlines()[-1].startswith("2 passed, 1 xfailed in "), out
+    assert "passed over, by KNOWN-RED.txt" in out
+    assert out.count(ENTRY.strip()) == 1
     assert "failed in call: assert 1 == 2" in out
 
 
@@ -276,8 +305,10 @@
     ]
     write_project(pytester, "\n".join(lines), VARIOUS_TESTS)
     code, out = run_project(pytester, *WORKER_OPTIONS, "-k", "test_some or test_setup")
-    assert code == 0 and "1 passed, 2 xfailed" in out, out
-    assert all(line in out for line in lines) and "failed in setup: OSError: no fixture" in out
+    assert code == 0, out
+    assert "1 passed, 2 xfailed" in out, out
+    assert all(line in out for line in lines)
+    assert "failed in setup: OSError: no fixture" in out
 
 
 @pytest.mark.parametrize("grouped", ["", GROUP_MARK], ids=["free", "grouped"])
@@ -296,15 +327,19 @@
     write_project(pytester, ENTRY, grouped + test)
     code, out = run_project(pytester, *WORKER_OPTIONS)
     # After a crash the next worker runs the test again, and each run is counted.
-    assert code == 1 and error in out and " failed, 1 passed" in out, out
+    assert code == 1, out
+    assert error in out, out
+    assert " failed, 1 passed" in out, out
     assert "passed over" not in out
 
 
 def test_unlisted_failure_fails_a_run_with_workers_despite_a_listed_one(pytester: pytest.Pytester) -> None:
     write_project(pytester, ENTRY, FAILING_TEST + "def test_new(): assert 0\n")
     code, out = run_project(pytester, *WORKER_OPTIONS)
-    assert code == 1 and "1 failed, 1 passed, 1 xfailed" in out, out
-    assert "FAILED tests/test_a.py::test_new" in out and ENTRY.strip() in out
+    assert code == 1, out
+    assert "1 failed, 1 passed, 1 xfailed" in out, out
+    assert "FAILED tests/test_a.py::test_new" in out
+    assert ENTRY.strip() in out
 
 
 @pytest.mark.parametrize(
@@ -324,21 +359,26 @@
 ) -> None:
     write_project(pytester, listed)
     code, out = run_project(pytester, *WORKER_OPTIONS)
-    assert code == pytest.ExitCode.USAGE_ERROR and error in out, out
-    assert "no tests ran in " in out and "INTERNALERROR" not in out
+    assert code == pytest.ExitCode.USAGE_ERROR, out
+    assert error in out, out
+    assert "no tests ran in " in out
+    assert "INTERNALERROR" not in out
 
 
 def test_collection_error_in_workers_is_not_reported_as_a_missing_test(pytester: pytest.Pytester) -> None:
     write_project(pytester, ENTRY, "import nothing_of_this_name\n")
     code, out = run_project(pytester, *WORKER_OPTIONS)
     assert code not in (0, pytest.ExitCode.USAGE_ERROR), out
-    assert "ERROR tests/test_a.py" in out and "no such test" not in out
+    assert "ERROR tests/test_a.py" in out
+    assert "no such test" not in out
 
 
 def test_run_of_some_files_in_workers_ignores_entries_of_other_files(pytester: pytest.Pytester) -> None:
     write_project(pytester, ENTRY + ENTRY_OF_MISSING_TEST)
     code, out = run_project(pytester, *WORKER_OPTIONS, "tests/test_b.py")
-    assert code == 0 and "1 passed" in out and "passed over" not in out, out
+    assert code == 0, out
+    assert "1 passed" in out, out
+    assert "passed over" not in out, out
 
 
 APART_MARK = "import pytest\npytestmark = pytest.mark.apart\n"
@@ -350,9 +390,13 @@
 ) -> None:
     write_project(pytester, ENTRY, APART_MARK + FAILING_TEST)
     code, out = run_project(pytester, *workers, "-m", "not apart")
-    assert code == 0 and "1 passed" in out and "passed over" not in out, out
+    assert code == 0, out
+    assert "1 passed" in out, out
+    assert "passed over" not in out, out
     code, out = run_project(pytester, *workers, "-m", "apart")
-    assert code == 0 and "1 xfailed" in out and ENTRY.strip() in out, out
+    assert code == 0, out
+    assert "1 xfailed" in out, out
+    assert ENTRY.strip() in out, out
 
 
 @pytest.mark.parametrize("workers", [(), WORKER_OPTIONS], ids=["alone", "workers"])
@@ -362,4 +406,5 @@
 ) -> None:
     write_project(pytester, ENTRY + ENTRY_OF_MISSING_TEST, APART_MARK + PASSING_TEST + FAILING_TEST)
     code, out = run_project(pytester, *workers, "-m", part)
-    assert code == pytest.ExitCode.USAGE_ERROR and "no such test: tests/test_a.py::test_gone" in out, out
+    assert code == pytest.ExitCode.USAGE_ERROR, out
+    assert "no such test: tests/test_a.py::test_gone" in out, out
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -20,9 +20,9 @@
     page = (ROOT / "docs/standing.md").read_text(encoding="utf-8")
     test_sources = "".join(path.read_text(encoding="utf-8") for path in (ROOT / "tests").glob("test_*.py"))
     named_tests = set(re.findall(r"::(test_\w+)", page))
-    assert named_tests and not [name for name in named_tests if f"def {name}(" not in test_sources]
+    assert named_tests
+    assert not [name for name in named_tests if f"def {name}(" not in test_sources]
     named_paths = set(re.findall(r"`([\w/]+(?:\.py|/))`", page))
     folders = (ROOT, ROOT / "kestreltrack", ROOT / "tests")
-    assert named_paths and not [
-        path for path in named_paths if not any((folder / path).exists() for folder in folders)
-    ]
+    assert named_paths
+    assert not [path for path in named_paths if not any((folder / path).exists() for folder in folders)]
