--- a/kestreltrack/testing/fakes/destinations.py
+++ b/kestreltrack/testing/fakes/destinations.py
@@ -1,4 +1,4 @@
-"""Fakes of destinations and their endpoints: with service times, rate limits, deduplication and injected faults."""
+"""Fake destinations and endpoints with service times, rate limits, deduplication and injected faults."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from kestreltrack.testing.fakes.http import HttpRequest, http_answer, read_http
 from kestreltrack.testing.fakes.loopback_server import LoopbackServer
 
-# How long a repeat of an idempotency key is dropped unless said.
+# The default deduplication window of a destination.
 DEDUPLICATION_WINDOW_S = 25.0
-# A call's service time is drawn evenly from this range of multiples of the destination's.
+# The service time of a call is drawn uniformly from this factor, plus up to the range, times the destination's mean.
 MIN_SERVICE_TIME_FACTOR = 0.6
 SERVICE_TIME_FACTOR_RANGE = 0.8
-# A call that fails takes less time than one that executes.
+# A failing call is answered sooner than one that executes.
 FAILURE_TIME_S = 0.01
 
 
@@ -27,17 +27,17 @@
 
 
 class BatchItem(NamedTuple):
-    """One message of a call: its id, and its idempotency key, or an empty string."""
+    """One message of a call; the idempotency key is empty if the message has none."""
 
     message_id: str
     key: str
 
 
 def read_batch(body: bytes) -> list[BatchItem]:
-    """Return the messages of a batch call.
+    """Parse the body of a batch call.
 
     Raises:
-        ValueError: Where the body is malformed (`MalformedBatchError`, or as a number or ASCII text is).
+        ValueError: If the body is malformed; a `MalformedBatchError` unless a number or ASCII text cannot be decoded.
     """
     items = list[BatchItem]()
     while body:
@@ -45,25 +45,25 @@
         message_id, key, length = line.decode("ascii").split(" ")
         size = int(length)
         if not line_end or size < 0 or rest[size : size + 2] != b"\r\n":
-            raise MalformedBatchError(f"message {message_id}: its length does not fit the body")
+            raise MalformedBatchError(f"message {message_id}: the declared length does not match the body")
         items.append(BatchItem(message_id, "" if key == "-" else key))
         body = rest[size + 2 :]
     if not items or len({item.message_id for item in items}) < len(items):
-        raise MalformedBatchError("the body has no message, or one of them twice")
+        raise MalformedBatchError("the body has no message or a duplicate message id")
     return items
 
 
 @dataclass(slots=True)
 class InjectedFault:
-    """What is wrong with a destination at present.
+    """The fault that is currently injected into a destination.
 
     Attributes:
-        reject: Calls are answered 503 at once.
-        failure_rate: The share of calls that is answered 500.
+        reject: Calls are answered with 503 immediately.
+        failure_rate: The share of calls that is answered with 500.
         hang: Calls are accepted and not answered.
-        slowdown: The factor by which service times are longer.
-        stall: Calls are executed, and their responses written but for the last byte.
-        corrupt: Returns what is written in place of a response; the connection ends after it.
+        slowdown: The factor by which service times are multiplied.
+        stall: Calls are executed, and their responses are written without the last byte.
+        corrupt: Returns the bytes to write instead of a response; the connection is closed after them.
     """
 
     reject: bool = False
@@ -76,25 +76,25 @@
 
 @dataclass(slots=True)
 class FakeDestination:
-    """One destination: its endpoints share its rate limit, its fault and its deduplication window.
+    """A destination whose endpoints share its rate limit, its fault and its deduplication window.
 
-    Times are of `time.monotonic`, in seconds, unless a name says otherwise.
+    Times are in seconds of `time.monotonic`, unless a name has another unit.
 
     Attributes:
-        dest: Its number.
-        service_time_ms: The mean time of a call.
-        rate_limit: Calls a second that it accepts; 0: no limit.
-        cold_start_share: The share of the rate that it accepts right after an outage.
-        warm_up_s: How long the rate then takes to rise to its limit.
-        max_batch_size: The most messages of a call.
-        deduplication_window_s: How long a repeat of an idempotency key is dropped.
-        fault: What is wrong with it at present.
-        warm_up_started_at: When it recovered last.
-        tokens: The calls that the rate limit allows now (a token bucket).
-        refilled_at: When `tokens` was computed.
-        execution_counts: How often each message was executed, by id.
-        key_first_seen_at: When each idempotency key was executed.
-        answer_counts: How often each status was answered; `hung` for no response.
+        dest: The number of the destination.
+        service_time_ms: The mean service time of a call.
+        rate_limit: The calls per second that it accepts; 0 for no limit.
+        cold_start_share: The share of the rate limit that it accepts directly after an outage.
+        warm_up_s: The time in which the accepted rate then rises to the limit.
+        max_batch_size: The maximum number of messages of a call.
+        deduplication_window_s: The time for which a repeated idempotency key is not executed again.
+        fault: The fault that is currently injected.
+        warm_up_started_at: The time of the last recovery.
+        tokens: The tokens in the bucket of the rate limit; a call takes one.
+        refilled_at: The time at which the bucket was last refilled.
+        execution_counts: The number of executions of each message, by id.
+        key_executed_at: The time at which each idempotency key was last executed.
+        answer_counts: The number of responses by status; `hung` counts calls without a response.
     """
 
     dest: int
@@ -109,7 +109,7 @@
     tokens: float = 0.0
     refilled_at: float = 0.0
     execution_counts: Counter[str] = field(default_factory=Counter)
-    key_first_seen_at: dict[str, float] = field(default_factory=dict)
+    key_executed_at: dict[str, float] = field(default_factory=dict)
     answer_counts: Counter[str] = field(default_factory=Counter)
 
     def recover(self) -> None:
@@ -118,12 +118,12 @@
         self.warm_up_started_at = time.monotonic()
 
     def current_rate_limit(self, now: float) -> float:
-        """Return the calls a second that it accepts at `now`."""
-        warmth = min(1.0, max(0.0, (now - self.warm_up_started_at) / self.warm_up_s))
-        return self.rate_limit * (self.cold_start_share + (1.0 - self.cold_start_share) * warmth)
+        """Return the calls per second that are accepted at `now`."""
+        warm_up_progress = min(1.0, max(0.0, (now - self.warm_up_started_at) / self.warm_up_s))
+        return self.rate_limit * (self.cold_start_share + (1.0 - self.cold_start_share) * warm_up_progress)
 
-    def retry_after_ms(self, now: float) -> float:
-        """Take a token for a call and return 0, or return the milliseconds until there is one."""
+    def take_token(self, now: float) -> float:
+        """Take a token for a call and return 0; without one, return the milliseconds until the next."""
         if not self.rate_limit:
             return 0.0
         rate = self.current_rate_limit(now)
@@ -134,28 +134,28 @@
             return 0.0
         return 1000.0 * (1.0 - self.tokens) / rate
 
-    def execute(self, message: str, key: str, now: float) -> None:
-        """Execute a message, unless its key is a repeat within the deduplication window."""
-        if key and now - self.key_first_seen_at.get(key, -1e9) < self.deduplication_window_s:
+    def execute(self, message_id: str, key: str, now: float) -> None:
+        """Execute a message, unless its key was executed within the deduplication window."""
+        if key and now - self.key_executed_at.get(key, -1e9) < self.deduplication_window_s:
             return
         if key:
-            self.key_first_seen_at[key] = now
-        self.execution_counts[message] += 1
+            self.key_executed_at[key] = now
+        self.execution_counts[message_id] += 1
 
 
 class FakeEndpoint(LoopbackServer):
-    """One endpoint of a destination: a server on a loopback port of its own.
+    """An endpoint of a destination, listening on its own loopback port.
 
     Attributes:
-        calls: When each message came, by `time.monotonic`, and its id.
-        delivered: The ids that were answered with 200, on a connection that was still open.
+        calls: The arrival time (`time.monotonic`) and the id of each message.
+        delivered: The ids of the messages that were answered with 200 on a connection that was still open.
     """
 
-    # KeyError: a request without a header that it needs.
+    # KeyError: a required header is missing.
     malformed_input_errors = (ValueError, KeyError)
 
     def __init__(self, uid: str, destination: FakeDestination, rng: random.Random) -> None:
-        """Create an endpoint that does not listen before `listen`."""
+        """Create an endpoint that starts listening in `listen`."""
         super().__init__()
         self.uid = uid
         self.destination = destination
@@ -164,7 +164,7 @@
         self.delivered = set[str]()
 
     def discovery_row(self, lifecycle: str = "up") -> dict[str, Any]:
-        """Return its entry in the format of the platform's discovery."""
+        """Return the endpoint's entry in the format of the platform's endpoint list."""
         return {
             "uid": self.uid,
             "endpoint": self.address,
@@ -177,7 +177,7 @@
         }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve the calls of one connection, one after the other."""
+        """Serve the calls of one connection sequentially."""
         while True:
             request = await read_http(reader)
             is_batch = is_batch_call(request)
@@ -197,14 +197,15 @@
     async def _write_response(
         self, response: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Write a response as the present fault has it; return whether it arrived and the connection goes on."""
+        """Write a response as the current fault requires; return whether the connection can be used again."""
         fault = self.destination.fault
         if not response or fault.stall:
             writer.write(response[:-1])
-            # The endpoint is silent until the sender closes the connection.
+            # Nothing more is sent until the sender closes the connection.
             await reader.read()
             return False
-        # A stream stays writable behind the other side's end: to a caller that has left nothing is delivered.
+        # A stream stays writable after the peer has closed its side: a response to a disconnected client does not
+        # count as delivered.
         if writer.is_closing() or reader.at_eof():
             return False
         writer.write(fault.corrupt(response) if fault.corrupt else response)
@@ -212,7 +213,7 @@
         return fault.corrupt is None
 
     async def _respond(self, items: list[BatchItem], is_batch: bool) -> bytes:
-        """Execute a call and return the response, which is the same for all its messages; empty for none."""
+        """Execute a call and return the response for all its messages; empty if the endpoint does not respond."""
         destination = self.destination
         if len(items) > destination.max_batch_size:
             return http_answer("413")
@@ -220,7 +221,7 @@
         if fault.reject:
             destination.answer_counts["503"] += 1
             return http_answer("503")
-        wait_ms = destination.retry_after_ms(time.monotonic())
+        wait_ms = destination.take_token(time.monotonic())
         if wait_ms:
             destination.answer_counts["429"] += 1
             return http_answer("429", f"Retry-After: {wait_ms / 1000.0:.3f}")
@@ -246,12 +247,16 @@
 
 
 def read_items(request: HttpRequest) -> list[BatchItem]:
-    """Return the messages of a call; raises `ValueError` where a batch is malformed."""
+    """Return the messages of a call.
+
+    Raises:
+        ValueError: If the body of a batch call is malformed.
+    """
     if is_batch_call(request):
         return read_batch(request.body)
     return [BatchItem(request.headers.get("x-call-id", ""), request.headers.get("idempotency-key", ""))]
 
 
 def is_batch_call(request: HttpRequest) -> bool:
-    """Return whether a request carries several messages."""
+    """Return whether a request is a batch call."""
     return request.request_line.split(" ")[1].endswith(":batch")
