--- a/kestreltrack/testing/fakes/__init__.py
+++ b/kestreltrack/testing/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Fakes of the systems that the sender talks to: etcd, the platform, destinations and clients.
+"""Fakes of etcd, the platform, destinations and clients, on loopback.
 
-For tests, benchmarks and `kestreltrack demo`, on loopback; a sender never imports them.
+Used by tests, benchmarks and `kestreltrack demo`; the sender itself never imports them.
 """
--- a/kestreltrack/testing/fakes/load_generator.py
+++ b/kestreltrack/testing/fakes/load_generator.py
@@ -1,4 +1,4 @@
-"""A fake of clients: submits messages over RESP2 at a steady rate, and records the answers."""
+"""Fake clients that submit messages over RESP2 at a constant mean rate and record the answers."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-# After this long without an answer a client closes its connection.
+# A client closes its connection if no answer arrives within this time.
 ANSWER_TIMEOUT_S = 0.4
-# The body of each message: of a usual size.
+# The body of each message, of a typical size.
 BODY = "x" * 300
 
 
 @dataclass(frozen=True, slots=True)
 class SubmittedMessage:
-    """One message that was submitted; its times are of `time.monotonic`, in seconds."""
+    """A submitted message; its times are in seconds of `time.monotonic`."""
 
     id: str
     dest: int
@@ -29,12 +29,12 @@
 
 @dataclass(slots=True)
 class SubmissionResults:
-    """The answers to all submissions, as the clients see them.
+    """The answers to all submissions, as seen by the clients.
 
     Attributes:
         accepted: The messages that the sender accepted, by id.
-        answer_counts: How often each answer came, by its first word; `silent` where none came.
-        latencies_ms: The time to each answer.
+        answer_counts: The number of answers by their first word; `silent` counts submissions without one.
+        latencies_ms: The time from each submission to its answer, or to the failure of the request.
     """
 
     accepted: dict[str, SubmittedMessage] = field(default_factory=dict)
@@ -43,16 +43,16 @@
 
 
 def encode_command(*parts: str) -> bytes:
-    """Return one RESP2 command (an array of bulk strings)."""
+    """Encode a RESP2 command as an array of bulk strings."""
     bulk_strings = "".join(f"${len(part)}\r\n{part}\r\n" for part in parts)
     return f"*{len(parts)}\r\n{bulk_strings}".encode()
 
 
 class LoadGenerator:
-    """Submits in an open loop: each message has its time, whether or not the earlier ones were answered."""
+    """An open-loop load generator: messages are submitted on schedule even if earlier ones are unanswered."""
 
     def __init__(self, address: str, seed: int, deadline_ms: int = 8000, prefix: str = "m") -> None:
-        """Submit to the sender at `address`; the ids of the messages begin with `prefix`."""
+        """Create a generator for the sender at `address`; message ids start with `prefix`."""
         self._prefix = prefix
         self.address = address
         self.results = SubmissionResults()
@@ -65,7 +65,7 @@
     async def run(
         self, rate: float, seconds: float, draw_message: Callable[[random.Random], tuple[int, str]]
     ) -> None:
-        """Submit `rate` messages a second (a Poisson process), each of a drawn destination and class."""
+        """Submit messages as a Poisson process of `rate` per second; `draw_message` chooses destination and class."""
         started_at = time.monotonic()
         due_s = self.random.expovariate(rate)
         while due_s < seconds:
@@ -78,13 +78,13 @@
         await asyncio.gather(*self._in_flight, return_exceptions=True)
 
     async def submit(self, dest: int, cls: str) -> str:
-        """Submit one message and return the first word of the answer in lower case, or `silent` for none."""
+        """Submit a message and return the first word of the answer in lower case, or `silent` without an answer."""
         message = self._next_message(dest, cls)
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 line = await self.request(self._submit_command(message))
         except (OSError, asyncio.IncompleteReadError):
-            # As far as the client knows, the message was not accepted.
+            # Without an answer a client cannot count on the message having been accepted.
             answer = "silent"
         else:
             answer = line.split()[0].lstrip("+-").lower()
@@ -108,10 +108,10 @@
     async def request(self, command: bytes) -> str:
         """Send a command and return the line of the answer.
 
-        An idle connection is used first; where the sender has closed it meanwhile, a new one.
+        Uses an idle connection if there is one, and a new connection if the sender has closed the idle one.
 
         Raises:
-            OSError: Where the sender cannot be reached, or closes the new connection.
+            OSError: If the sender cannot be reached or closes the new connection.
         """
         if self._idle_connections:
             with suppress(OSError, asyncio.IncompleteReadError):
--- a/kestreltrack/testing/fakes/loopback_server.py
+++ b/kestreltrack/testing/fakes/loopback_server.py
@@ -1,26 +1,26 @@
-"""A TCP server on a loopback port of its own, which ends all its connections when it is closed."""
+"""A TCP server on a free loopback port that aborts all its connections when it is closed."""
 
 from __future__ import annotations
 
 import asyncio
 from contextlib import suppress
 
-# Connections that the kernel queues: tests open hundreds at once.
+# Length of the accept queue: tests open hundreds of connections at once.
 BACKLOG = 512
 
 
 class LoopbackServer:
-    """A server whose subclass serves one connection in `serve`.
+    """Base class of servers; subclasses implement `serve` for one connection.
 
     Attributes:
-        address: The host and port, once it listens; else empty.
-        malformed_input_errors: What `serve` raises on malformed input; it ends the connection.
+        address: The host and port; empty before `listen`.
+        malformed_input_errors: The exceptions of `serve` on malformed input, which end the connection.
     """
 
     malformed_input_errors: tuple[type[Exception], ...] = (ValueError,)
 
     def __init__(self) -> None:
-        """Create a server that does not listen before `listen`."""
+        """Create a server that starts listening in `listen`."""
         self.address = ""
         self._server: asyncio.Server | None = None
         self._open = set[asyncio.StreamWriter]()
@@ -43,7 +43,7 @@
             with suppress(asyncio.IncompleteReadError, OSError, *self.malformed_input_errors):
                 await self.serve(reader, writer)
         except asyncio.CancelledError:
-            # The task ends here in any case; asyncio 3.11 would log a cancelled one as an error in its own callback.
+            # The task ends here in any case; asyncio's own callback in Python 3.11 logs a cancelled task as an error.
             pass
         finally:
             self._open.discard(writer)
--- a/kestreltrack/testing/fakes/platform.py
+++ b/kestreltrack/testing/fakes/platform.py
@@ -1,4 +1,4 @@
-"""A fake of the platform: the endpoint list over HTTP, and the status notifications that senders post."""
+"""Fake platform: serves the endpoint list over HTTP and accepts the status notifications of senders."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from kestreltrack.testing.fakes.http import http_answer, read_http
 from kestreltrack.testing.fakes.loopback_server import LoopbackServer
 
-# The longest that a long poll is held, whatever its `hold_ms` asks for.
+# The maximum time that a long poll is held, regardless of its `hold_ms`.
 MAX_POLL_HOLD_S = 60.0
 
 
@@ -22,16 +22,16 @@
 
     Attributes:
         revision: The revision of the endpoint list.
-        entries: The entry of each endpoint by uid.
-        notifications: The outcomes that were notified of each message, in order.
-        first_notified_at: When the first one of each message came, by `time.monotonic`, in seconds.
-        unanswered: The messages of notifications whose poster had left before the answer was written.
-        on_list_sent: Called with the entries of a response once it is written; empty for any other response.
-        on_notification: Called with each notification.
+        entries: The entries of the endpoint list, by uid.
+        notifications: The outcomes in the notifications of each message, in order of arrival.
+        first_notified_at: The time of the first notification of each message, in seconds of `time.monotonic`.
+        unanswered: The messages of notifications whose sender disconnected before the response was written.
+        on_list_sent: Called after each written response with its entries; without any if it has no endpoint list.
+        on_notification: Called with each notification on arrival.
     """
 
     def __init__(self) -> None:
-        """Create a platform that does not listen before `listen`."""
+        """Create a platform that starts listening in `listen`."""
         super().__init__()
         self.revision = 1
         self.entries = dict[str, dict[str, Any]]()
@@ -45,7 +45,7 @@
         self._changed = asyncio.Event()
 
     def publish(self, row: dict[str, Any]) -> None:
-        """Add or change an entry, or remove it where its state is `removed`."""
+        """Add or change an entry; an entry in the state `removed` is deleted."""
         self.revision += 1
         self._changes.append((self.revision, row))
         if row["state"] == "removed":
@@ -56,7 +56,7 @@
         self._changed = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve the requests of one connection, one after the other."""
+        """Serve the requests of one connection sequentially."""
         while True:
             request = await read_http(reader)
             response = await self._respond(request.request_line, request.body)
@@ -84,7 +84,7 @@
             self.on_notification(row)
 
     async def _respond_to_poll(self, request_line: str) -> bytes:
-        """Answer a long poll with the changes since a revision, once there is one or the poll's time is over."""
+        """Answer a long poll with the changes since a revision, when there is one or the hold time has passed."""
         query_text = request_line.split(" ")[1].partition("?")[2]
         query = dict(pair.split("=", 1) for pair in query_text.split("&"))
         since_revision = int(query["from"])
