--- a/kestreltrack/testing/fakes/etcd/__init__.py
+++ b/kestreltrack/testing/fakes/etcd/__init__.py
@@ -1,6 +1,6 @@
-"""A fake of etcd's v3 API over real gRPC.
+"""Fake of the etcd v3 API over gRPC.
 
-`store.py` has the key-value history, `auth.py` users and tokens, `members.py` the members with their faults,
-`services.py` and `watches.py` the gRPC services, `cluster.py` all of it together, and `process.py` runs a cluster as
-a process of its own, with faults by commands on standard input.
+`store.py` holds the key-value history, `auth.py` users and tokens, `members.py` the members with their faults,
+`services.py` and `watches.py` the gRPC services and `cluster.py` a complete cluster.  `process.py` runs a cluster in
+a separate process, where faults are injected by commands on standard input.
 """
--- a/kestreltrack/testing/fakes/etcd/auth.py
+++ b/kestreltrack/testing/fakes/etcd/auth.py
@@ -1,4 +1,4 @@
-"""Users and tokens of the fake (etcd's simple tokens: https://etcd.io/docs/v3.5/learning/design-auth-v3/)."""
+"""Users and simple tokens of the fake etcd (https://etcd.io/docs/v3.5/learning/design-auth-v3/)."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class AuthState:
-    """The users, and the tokens that they were given; without users there is no authentication.
+    """The users and their tokens; without users authentication is disabled.
 
     Attributes:
         users: Passwords by name.
-        tokens: When each token expires, by the cluster's clock in seconds.
-        ttl_s: How long a token is valid.
+        tokens: The expiry of each token, in seconds of the cluster's clock.
+        ttl_s: The lifetime of a token.
     """
 
     users: dict[str, str] = field(default_factory=dict)
@@ -26,10 +26,10 @@
     ttl_s: float = 300.0
 
     def authenticate(self, name: str, password: str, revision: int, now: float) -> str:
-        """Return a new token for a user.
+        """Issue a token for a user.
 
         Raises:
-            GRPCError: Where authentication is off, or the name or the password is wrong.
+            GRPCError: If authentication is disabled, or the name or the password is wrong.
         """
         if not self.users:
             raise rpc_error(Status.FAILED_PRECONDITION, "authentication is not enabled")
@@ -43,7 +43,7 @@
         """Check the token of a call.
 
         Raises:
-            GRPCError: Where there are users, and the token is missing, unknown or expired.
+            GRPCError: If authentication is enabled and the token is missing, unknown or expired.
         """
         if not self.users:
             return
--- a/kestreltrack/testing/fakes/etcd/cluster.py
+++ b/kestreltrack/testing/fakes/etcd/cluster.py
@@ -1,4 +1,4 @@
-"""A cluster with all services of the fake; apart from the members, which the services depend on."""
+"""A fake cluster with all its services, in a module of its own because the services import the members."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from kestreltrack.testing.fakes.etcd.members import EtcdClusterBase
-from kestreltrack.testing.fakes.etcd.services import services
+from kestreltrack.testing.fakes.etcd.services import make_services
 
 
 class FakeEtcdCluster(EtcdClusterBase):
-    """A cluster of one to five members over one history."""
+    """A cluster of one to five members that share one history."""
 
     def __init__(
         self,
@@ -18,11 +18,11 @@
         users: dict[str, str] | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Create a cluster that does not listen before `start`.
+        """Create a cluster that starts listening in `start`.
 
         Args:
-            members: How many members.
-            users: Passwords by name; without users there is no authentication.
-            clock: Returns seconds, for leases and tokens.
+            members: The number of members.
+            users: Passwords by name; without users authentication is disabled.
+            clock: Returns the time in seconds, for leases and tokens.
         """
-        super().__init__(services, members, users, clock)
+        super().__init__(make_services, members, users, clock)
--- a/kestreltrack/testing/fakes/etcd/members.py
+++ b/kestreltrack/testing/fakes/etcd/members.py
@@ -1,4 +1,4 @@
-"""Members of a fake etcd cluster: each serves the one history on a port of its own, with its own faults."""
+"""Members of a fake etcd cluster: each serves the shared history on its own port, with its own faults."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 from kestreltrack.testing.fakes.etcd.auth import AuthState
 from kestreltrack.testing.fakes.etcd.store import EtcdStore, rpc_error
 
-# Revisions whose time is kept: those that a test or a benchmark may still ask for.
+# The number of newest revisions whose commit time is kept for tests and benchmarks.
 MAX_COMMIT_TIMES = 10_000
-# etcd's default limit of a request (--max-request-bytes): a larger watch response is sent in fragments.
+# etcd's default request limit (--max-request-bytes); larger watch responses are sent in fragments.
 FRAGMENT_BYTES = 1_500_000
-# The largest cluster that etcd's documentation recommends is 7; tests need 5.
+# Tests need up to 5 members; etcd's documentation recommends at most 7.
 MAX_MEMBERS = 5
-# Between two searches for expired leases: well below the shortest lease, of 1 s.
+# Interval between checks for expired leases, well below the shortest lease of 1 s.
 EXPIRY_INTERVAL_S = 0.1
-# Of the first member; any other number would do.
+# The id of the first member, an arbitrary number.
 FIRST_MEMBER_ID = 0xA000
 
 
 class ClusterError(ValueError):
-    """A cluster or a fault that the fake does not have; the text says which."""
+    """The number of members, a member or a fault is invalid."""
 
 
 @dataclass(slots=True)
 class MemberFaults:
-    """What is wrong with a member at present.
+    """The faults that are currently injected into a member.
 
     Attributes:
         hang: Calls are accepted and not answered.
-        lag: The newest revision that is shown; 0: no lag.
-        no_leader: The member has lost its leader.
-        slow_ms: The delay of each response.
-        repeat: Each watch event is sent twice.
-        late_ms: The delay of each watch response.
-        cut_in_batch: All connections end between the fragments of the next large watch response.
+        lag: The newest revision that the member has applied; 0 for no lag.
+        no_leader: The member has no leader.
+        slow_ms: The delay of each response, except those of the Watch and Auth services.
+        repeat: Each watch response with events is sent twice.
+        late_ms: The delay of each watch response with events.
+        cut_in_batch: All connections are aborted after the first fragment of the next fragmented watch response.
     """
 
     hang: bool = False
@@ -59,14 +59,14 @@
 
 
 class EtcdClusterBase:
-    """A cluster of members over one history; `cluster.py` adds the services.
+    """A cluster of members that share one history; `cluster.py` adds the services.
 
     Attributes:
-        store: The history.
+        store: The shared history.
         auth_state: Users and tokens.
-        fragment_bytes: The size from which a watch response is sent in fragments.
+        fragment_bytes: The size above which a watch response is sent in fragments.
         members: The members, by number.
-        commit_times: When each of the newest revisions was committed, by `time.monotonic`, in seconds.
+        commit_times: The commit time of each of the newest revisions, in seconds of `time.monotonic`.
     """
 
     def __init__(
@@ -76,19 +76,19 @@
         users: dict[str, str] | None,
         clock: Callable[[], float],
     ) -> None:
-        """Create a cluster that does not listen before `start`.
+        """Create a cluster that starts listening in `start`.
 
         Args:
-            make_services: Returns the gRPC services of a member.
-            members: How many members.
-            users: Passwords by name; without users there is no authentication.
-            clock: Returns seconds, for leases and tokens.
+            make_services: Creates the gRPC services of a member.
+            members: The number of members.
+            users: Passwords by name; without users authentication is disabled.
+            clock: Returns the time in seconds, for leases and tokens.
 
         Raises:
-            ClusterError: Where the number of members is not 1 to 5.
+            ClusterError: If the number of members is not 1 to 5.
         """
         if not 1 <= members <= MAX_MEMBERS:
-            raise ClusterError(f"members: {members} is not 1 to {MAX_MEMBERS}")
+            raise ClusterError(f"members: {members} is not between 1 and {MAX_MEMBERS}")
         self.store = EtcdStore()
         self.auth_state = AuthState(users or {})
         self.clock = clock
@@ -102,9 +102,9 @@
     async def start(
         self, host: str = "127.0.0.1", port: int = 0, tls: ssl.SSLContext | None = None
     ) -> list[str]:
-        """Listen, and return the addresses.
+        """Start all members and return their addresses.
 
-        The first member listens at `port` and the others at the ports after it; for 0 each listens at any free port.
+        The first member listens on `port` and the others on the following ports; with port 0 each uses a free port.
         """
         for member in self.members:
             await member.start(host, port + member.number if port else 0, tls)
@@ -117,7 +117,7 @@
         return [member.address for member in self.members]
 
     async def stop(self) -> None:
-        """Stop all members."""
+        """Stop all members and the expiry of leases."""
         if self._expiry_task:
             self._expiry_task.cancel()
         for member in self.members:
@@ -129,14 +129,14 @@
             self.expire()
 
     def expire(self) -> None:
-        """End the leases that have expired by the clock."""
+        """Revoke the leases that have expired by the cluster's clock."""
         revision_before = self.store.revision
         self.store.expire(self.clock())
         if self.store.revision != revision_before:
             self.notify_change()
 
     def notify_change(self) -> None:
-        """Record the time of the newest revision, and wake all that wait for a change."""
+        """Record the commit time of the newest revision and wake all tasks that wait for a change."""
         self.commit_times.setdefault(self.store.revision, time.monotonic())
         while len(self.commit_times) > MAX_COMMIT_TIMES:
             oldest = next(iter(self.commit_times))
@@ -145,16 +145,16 @@
         self._changed = asyncio.Event()
 
     def wait_for_change(self) -> Coroutine[Any, Any, Any]:
-        """Return a coroutine that waits for the next change of the history or of a fault after this call."""
+        """Return a coroutine that waits for the next change of the history or the faults after this call."""
         return self._changed.wait()
 
-    # Faults and changes by tests -----------------------------------------------------------------
+    # Faults and writes by tests ------------------------------------------------------------------
 
     async def apply_fault(self, member: int, fault: str, value: float = 1) -> None:
-        """Inject one fault into a member; `heal` removes all its faults.  `process.py` lists the faults.
+        """Inject a fault into a member; `heal` removes all its faults.  `process.py` lists the faults.
 
         Raises:
-            ClusterError: Where the member does not exist or the fault is unknown.
+            ClusterError: If the member does not exist or the fault is unknown.
         """
         if not 0 <= member < len(self.members):
             raise ClusterError(f"member {member} does not exist")
@@ -182,16 +182,16 @@
         self.notify_change()
 
     def _revision_or_newest(self, value: float) -> int:
-        """Return the revision that a fault's value names; 1, the default of a value, stands for the newest."""
+        """Return the revision in the value of a fault; the default value 1 means the newest revision."""
         return int(value) if value > 1 else self.store.revision
 
     def put(self, key: str, value: str) -> int:
-        """Write a key and return the revision."""
+        """Write a key and return the new revision."""
         self.store.put(pb.PutRequest(key=key.encode(), value=value.encode()))
         return self._commit()
 
     def delete(self, key: str) -> int:
-        """Delete a key and return the revision."""
+        """Delete a key and return the revision afterwards."""
         self.store.delete(pb.DeleteRangeRequest(key=key.encode()))
         return self._commit()
 
@@ -203,7 +203,7 @@
     # Authentication ------------------------------------------------------------------------------
 
     def authenticate(self, name: str, password: str) -> str:
-        """Return a new token for a user; raises `GRPCError` as `AuthState.authenticate` does."""
+        """Issue a token for a user; raises `GRPCError` as `AuthState.authenticate` does."""
         return self.auth_state.authenticate(name, password, self.store.revision, self.clock())
 
     def check_token(self, token: str | None) -> None:
@@ -212,38 +212,38 @@
 
 
 class _AbortableServer(Server):
-    """A server that can end its connections without HTTP/2's GOAWAY, as a crash does."""
+    """A gRPC server that can abort its connections without an HTTP/2 GOAWAY frame, as a crash would."""
 
     def __init__(self, services: list[Any]) -> None:
         super().__init__(services)
-        self._open = WeakSet[H2Protocol]()
+        self._open_protocols = WeakSet[H2Protocol]()
 
     def _protocol_factory(self) -> H2Protocol:
         protocol = super()._protocol_factory()
-        self._open.add(protocol)
+        self._open_protocols.add(protocol)
         return protocol
 
     def abort(self) -> None:
         """Abort all connections."""
-        for protocol in list(self._open):
-            # grpclib sets the connection only once it is made.
+        for protocol in list(self._open_protocols):
+            # grpclib sets `connection` when the connection is made.
             if getattr(protocol, "connection", None) is not None:
                 protocol.connection._transport.abort()
 
 
 class FakeEtcdMember:
-    """One member: a gRPC server of its own.
+    """A member of the cluster, with its own gRPC server.
 
     Attributes:
-        number: Its number in the cluster, from 0.
-        id: Its id in etcd's protocol.
-        faults: What is wrong with it at present.
-        address: Its host and port, once it has listened.
-        watch_stream_count: How many watch streams are open.
+        number: The number of the member in the cluster, from 0.
+        id: The member id in etcd's protocol.
+        faults: The faults that are currently injected.
+        address: The host and port; empty before `start`.
+        watch_stream_count: The number of open watch streams.
     """
 
     def __init__(self, cluster: EtcdClusterBase, number: int) -> None:
-        """Create a member that does not listen before `start`."""
+        """Create a member that starts listening in `start`."""
         self.cluster = cluster
         self.number = number
         self.faults = MemberFaults()
@@ -254,17 +254,17 @@
         self._listen_arguments: tuple[str, int, ssl.SSLContext | None] = ("127.0.0.1", 0, None)
 
     async def start(self, host: str, port: int, tls: ssl.SSLContext | None) -> None:
-        """Listen at a port; 0: any free one."""
+        """Listen on a port, or on a free one if it is 0."""
         self._server = _AbortableServer(self.cluster.make_services(self))
         await self._server.start(host, port, ssl=tls)
-        # grpclib gives access to its socket nowhere else.
+        # grpclib has no public access to the bound port.
         asyncio_server: Any = self._server._server
         bound_port = asyncio_server.sockets[0].getsockname()[1]
         self._listen_arguments = (host, bound_port, tls)
         self.address = f"{host}:{bound_port}"
 
     async def restart(self) -> None:
-        """Listen at the same address again, unless it is listening."""
+        """Listen on the same address again, unless the member is listening."""
         if self._server is None:
             await self.start(*self._listen_arguments)
 
@@ -278,16 +278,16 @@
         server.abort()
 
     def abort_connections(self) -> None:
-        """Abort all connections; new ones are accepted."""
+        """Abort all connections; new connections are still accepted."""
         if self._server is not None:
             self._server.abort()
 
     def visible_revision(self) -> int:
-        """Return the newest revision that this member shows."""
+        """Return the newest revision that this member has applied."""
         return min(self.faults.lag or self.cluster.store.revision, self.cluster.store.revision)
 
     def header(self, revision: int | None = None) -> pb.ResponseHeader:
-        """Return the header of a response, with the visible revision unless another is given."""
+        """Return a response header with the given revision, by default the visible one."""
         store = self.cluster.store
         return pb.ResponseHeader(
             cluster_id=store.cluster_id,
@@ -296,11 +296,11 @@
             raft_term=store.term,
         )
 
-    async def before_answer(self, token: str | None, linearizable: bool = True) -> None:
-        """Apply the faults and check the token before a response; a linearizable one waits for the newest revision.
+    async def prepare_response(self, token: str | None, linearizable: bool = True) -> None:
+        """Apply the faults and check the token; if linearizable, wait until the member has the newest revision.
 
         Raises:
-            GRPCError: Where there is no leader, or the token is not valid.
+            GRPCError: If a linearizable call finds no leader, or the token is not valid.
         """
         while self.faults.hang:
             await self.cluster.wait_for_change()
--- a/kestreltrack/testing/fakes/etcd/process.py
+++ b/kestreltrack/testing/fakes/etcd/process.py
@@ -1,10 +1,11 @@
-"""The fake as a process: prints one JSON line when it is ready, and takes commands on standard input.
+"""A fake etcd cluster as a process: prints a JSON line when it is ready and reads commands from standard input.
 
     {"member": 1, "fault": "cut"}    {"member": 0, "fault": "lag"}    {"fault": "compact"}    {"fault": "stop"}
 
 Faults: `cut`, `hang`, `refuse`, `lag`, `no_leader`, `compact`, `repeat`, `cut_in_batch`, `expire_tokens`, `slow_ms`
-and `late_ms` (the last two with a `value`), and `heal`, which removes all faults of a member.  Each line is answered
-by one JSON line.  The process ends at the end of its input or at a signal, so that it never outlives its parent.
+and `late_ms` (the last two with a `value`), and `heal`, which removes all faults of a member.  Each command is
+answered by one JSON line.  The process exits at the end of its input or on a signal, so that it never
+outlives its parent.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from kestreltrack.http1 import split_address
 from kestreltrack.testing.fakes.etcd.cluster import FakeEtcdCluster
 
-# Of one command: far above any of them.
+# The maximum length of a command line, far above that of any valid command.
 MAX_LINE_BYTES = 64 * 1024
 
 
 class FaultCommand(msgspec.Struct, forbid_unknown_fields=True):
-    """One command: a fault (or `stop`), the number of the member, and the fault's value."""
+    """A command: a fault or `stop`, the number of the member and the value of the fault."""
 
     fault: str
     member: int = 0
@@ -35,10 +36,10 @@
 
 
 def server_tls(cert: str, key: str, client_ca: str = "") -> ssl.SSLContext:
-    """Return the TLS context of members; with `client_ca` clients need a certificate that it signed.
+    """Return the TLS context of the members; with `client_ca`, clients need a certificate that this CA signed.
 
     Raises:
-        OSError: Where a file cannot be used.
+        OSError: If a file cannot be read or used.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(cert, key)
@@ -56,19 +57,19 @@
     tls: ssl.SSLContext | None,
     report: Callable[[dict[str, Any]], None],
 ) -> None:
-    """Run a cluster until the input ends, a command says `stop`, or SIGTERM or SIGINT comes.
+    """Run a cluster until the input ends, or until a `stop` command, SIGTERM or SIGINT.
 
     Args:
         listen: The host and port of the first member.
-        members: How many members.
+        members: The number of members.
         users: Passwords by name.
-        tls: The TLS context of the members; None: no TLS.
-        report: Prints a document.
+        tls: The TLS context of the members; None for no TLS.
+        report: Called with each document to print.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     cluster = FakeEtcdCluster(members, users)
     host, port = split_address(listen)
     addresses = await cluster.start(host, port, tls)
@@ -84,7 +85,7 @@
 async def _read_commands(
     cluster: FakeEtcdCluster, stop: asyncio.Event, report: Callable[[dict[str, Any]], None]
 ) -> None:
-    """Carry out the commands on standard input; sets `stop` at its end or at the command `stop`."""
+    """Execute the commands on standard input; set `stop` at its end or at the command `stop`."""
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     protocol = asyncio.StreamReaderProtocol(reader)
     await asyncio.get_running_loop().connect_read_pipe(lambda: protocol, sys.stdin)
--- a/kestreltrack/testing/fakes/etcd/services.py
+++ b/kestreltrack/testing/fakes/etcd/services.py
@@ -1,6 +1,6 @@
-"""The gRPC services of one member but for watches, which are in `watches.py`.
+"""The gRPC services of a member, except the Watch service, which is in `watches.py`.
 
-The methods have the names of etcd's protocol (https://etcd.io/docs/v3.5/dev-guide/api_reference_v3/).
+Methods are named as in etcd's protocol (https://etcd.io/docs/v3.5/dev-guide/api_reference_v3/).
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from kestreltrack.testing.fakes.etcd.store import rpc_error
 from kestreltrack.testing.fakes.etcd.watches import WatchService
 
-# The version of etcd whose API the fake has.
+# The version of etcd that the fake reports and whose API it follows.
 VERSION = "3.5.21"
 
 
 def auth_token(stream: Stream[Any, Any]) -> str | None:
-    """Return the token of the caller, or None without one."""
+    """Return the token in the metadata of a call, or None if there is none."""
     metadata: Any = stream.metadata or {}
     value = metadata.get("token")
     return str(value) if value is not None else None
@@ -32,7 +32,7 @@
     """Return the request of a unary call.
 
     Raises:
-        GRPCError: Where the call has none.
+        GRPCError: If the call has no request.
     """
     request = await stream.recv_message()
     if request is None:
@@ -44,22 +44,22 @@
     """The KV service: reads, writes, transactions and compaction."""
 
     def __init__(self, member: FakeEtcdMember) -> None:
-        """Create the service of one member."""
+        """Create the service of a member."""
         self.member = member
         self.cluster = member.cluster
         self.store = member.cluster.store
 
     async def Range(self, stream: Stream[pb.RangeRequest, pb.RangeResponse]) -> None:
         request = await receive_request(stream)
-        await self.member.before_answer(auth_token(stream), linearizable=not request.serializable)
+        await self.member.prepare_response(auth_token(stream), linearizable=not request.serializable)
         response = self.store.range(request, self.member.visible_revision())
         response.header.CopyFrom(self.member.header())
         await stream.send_message(response)
 
-    async def _change(self, stream: Stream[Any, Any], operation: Callable[[Any], Any]) -> None:
-        """Carry out a write, commit it as one revision, and respond."""
+    async def _commit_write(self, stream: Stream[Any, Any], operation: Callable[[Any], Any]) -> None:
+        """Apply a write, commit it as one revision and send the response."""
         request = await receive_request(stream)
-        await self.member.before_answer(auth_token(stream))
+        await self.member.prepare_response(auth_token(stream))
         response = operation(request)
         self.store.commit()
         response.header.CopyFrom(self.member.header(self.store.revision))
@@ -67,34 +67,34 @@
         await stream.send_message(response)
 
     async def Put(self, stream: Stream[pb.PutRequest, pb.PutResponse]) -> None:
-        await self._change(stream, self.store.put)
+        await self._commit_write(stream, self.store.put)
 
     async def DeleteRange(self, stream: Stream[pb.DeleteRangeRequest, pb.DeleteRangeResponse]) -> None:
-        await self._change(stream, self.store.delete)
+        await self._commit_write(stream, self.store.delete)
 
     async def Txn(self, stream: Stream[pb.TxnRequest, pb.TxnResponse]) -> None:
-        await self._change(stream, self.store.txn)
+        await self._commit_write(stream, self.store.txn)
 
     async def Compact(self, stream: Stream[pb.CompactionRequest, pb.CompactionResponse]) -> None:
         def compact(request: pb.CompactionRequest) -> pb.CompactionResponse:
             self.store.compact(request.revision)
             return pb.CompactionResponse()
 
-        await self._change(stream, compact)
+        await self._commit_write(stream, compact)
 
 
 class LeaseService(rpc.LeaseBase):
     """The Lease service."""
 
     def __init__(self, member: FakeEtcdMember) -> None:
-        """Create the service of one member."""
+        """Create the service of a member."""
         self.member = member
         self.cluster = member.cluster
         self.store = member.cluster.store
 
     async def LeaseGrant(self, stream: Stream[pb.LeaseGrantRequest, pb.LeaseGrantResponse]) -> None:
         request = await receive_request(stream)
-        await self.member.before_answer(auth_token(stream))
+        await self.member.prepare_response(auth_token(stream))
         lease = self.store.grant(request.TTL, request.ID, self.cluster.clock())
         await stream.send_message(
             pb.LeaseGrantResponse(header=self.member.header(), ID=lease.id, TTL=lease.ttl)
@@ -102,7 +102,7 @@
 
     async def LeaseRevoke(self, stream: Stream[pb.LeaseRevokeRequest, pb.LeaseRevokeResponse]) -> None:
         request = await receive_request(stream)
-        await self.member.before_answer(auth_token(stream))
+        await self.member.prepare_response(auth_token(stream))
         self.store.revoke(request.ID)
         self.cluster.notify_change()
         await stream.send_message(pb.LeaseRevokeResponse(header=self.member.header()))
@@ -111,9 +111,9 @@
         self, stream: Stream[pb.LeaseKeepAliveRequest, pb.LeaseKeepAliveResponse]
     ) -> None:
         async for request in stream:
-            await self.member.before_answer(auth_token(stream))
+            await self.member.prepare_response(auth_token(stream))
             lease = self.store.leases.get(request.ID)
-            # A TTL of 0 says that the lease has ended.
+            # In etcd's protocol a TTL of 0 means that the lease does not exist.
             ttl = 0
             if lease:
                 lease.expires = self.cluster.clock() + lease.ttl
@@ -126,7 +126,7 @@
         self, stream: Stream[pb.LeaseTimeToLiveRequest, pb.LeaseTimeToLiveResponse]
     ) -> None:
         request = await receive_request(stream)
-        await self.member.before_answer(auth_token(stream))
+        await self.member.prepare_response(auth_token(stream))
         lease = self.store.leases.get(request.ID)
         response = pb.LeaseTimeToLiveResponse(ID=request.ID, TTL=-1)
         response.header.CopyFrom(self.member.header())
@@ -139,21 +139,21 @@
 
     async def LeaseLeases(self, stream: Stream[pb.LeaseLeasesRequest, pb.LeaseLeasesResponse]) -> None:
         await receive_request(stream)
-        await self.member.before_answer(auth_token(stream))
+        await self.member.prepare_response(auth_token(stream))
         leases = [pb.LeaseStatus(ID=lease_id) for lease_id in sorted(self.store.leases)]
         await stream.send_message(pb.LeaseLeasesResponse(header=self.member.header(), leases=leases))
 
 
 class MemberListService(rpc.ClusterBase):
-    """The list of members of the Cluster service."""
+    """The Cluster service, with the member list only."""
 
     def __init__(self, member: FakeEtcdMember) -> None:
-        """Create the service of one member."""
+        """Create the service of a member."""
         self.member = member
 
     async def MemberList(self, stream: Stream[pb.MemberListRequest, pb.MemberListResponse]) -> None:
         request = await receive_request(stream)
-        await self.member.before_answer(auth_token(stream), linearizable=request.linearizable)
+        await self.member.prepare_response(auth_token(stream), linearizable=request.linearizable)
         members = [
             pb.Member(ID=member.id, name=f"m{member.number}", clientURLs=[f"http://{member.address}"])
             for member in self.member.cluster.members
@@ -162,15 +162,15 @@
 
 
 class StatusService(rpc.MaintenanceBase):
-    """The status of the Maintenance service."""
+    """The Maintenance service, with the status only."""
 
     def __init__(self, member: FakeEtcdMember) -> None:
-        """Create the service of one member."""
+        """Create the service of a member."""
         self.member = member
 
     async def Status(self, stream: Stream[pb.StatusRequest, pb.StatusResponse]) -> None:
         await receive_request(stream)
-        await self.member.before_answer(auth_token(stream), linearizable=False)
+        await self.member.prepare_response(auth_token(stream), linearizable=False)
         store = self.member.cluster.store
         no_leader = self.member.faults.no_leader
         await stream.send_message(
@@ -187,10 +187,10 @@
 
 
 class AuthService(rpc.AuthBase):
-    """The authentication of the Auth service."""
+    """The Auth service, with authentication only."""
 
     def __init__(self, member: FakeEtcdMember) -> None:
-        """Create the service of one member."""
+        """Create the service of a member."""
         self.member = member
 
     async def Authenticate(self, stream: Stream[pb.AuthenticateRequest, pb.AuthenticateResponse]) -> None:
@@ -201,8 +201,8 @@
         await stream.send_message(pb.AuthenticateResponse(header=self.member.header(), token=token))
 
 
-def services(member: FakeEtcdMember) -> list[Any]:
-    """Return all services of one member."""
+def make_services(member: FakeEtcdMember) -> list[Any]:
+    """Create all services of a member."""
     return [
         KvService(member),
         LeaseService(member),
--- a/kestreltrack/testing/fakes/etcd/store.py
+++ b/kestreltrack/testing/fakes/etcd/store.py
@@ -1,8 +1,8 @@
 """etcd's key-value history: revisions, versions of keys, transactions, compaction and leases.  No I/O.
 
-Semantics from etcd's data model and API reference (https://etcd.io/docs/v3.5/learning/data_model/,
-https://etcd.io/docs/v3.5/learning/api/): each change makes one revision, and a transaction one for all that it
-changes; a read may name a revision that is not compacted; the keys of a lease are deleted with it.
+The semantics follow etcd's data model and API reference (https://etcd.io/docs/v3.5/learning/data_model/,
+https://etcd.io/docs/v3.5/learning/api/): each change creates one revision, and so does a whole transaction; a read
+may specify any revision that is not compacted; the keys of a lease are deleted with it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     pb.RangeRequest.VALUE: lambda kv: kv.value,
 }
 
-# The field of a key, and of the comparison, that each target compares.
+# The field of `KeyValue` and of `Compare` that each comparison target refers to.
 COMPARE_FIELDS = {
     pb.Compare.VERSION: "version",
     pb.Compare.CREATE: "create_revision",
@@ -40,28 +40,28 @@
     pb.Compare.LESS: operator.lt,
     pb.Compare.NOT_EQUAL: operator.ne,
 }
-# The end of a range that has no end (API reference, RangeRequest).
+# The `range_end` of a range without an upper bound (API reference, RangeRequest).
 NO_RANGE_END = b"\0"
-# The id of the first lease that a client leaves to the server: as large as those of etcd.
+# The first lease id that the store assigns; as large as the ids of etcd.
 FIRST_LEASE_ID = 7587860000000000001
 CLUSTER_ID = 0x6B657374
 
 
 def rpc_error(status: Status, text: str) -> GRPCError:
-    """Return an error with etcd's code and text."""
+    """Return a gRPC error with the message prefix of etcd."""
     prefix = "" if text.startswith("etcdserver") else "etcdserver: "
     return GRPCError(status, f"{prefix}{text}")
 
 
 @dataclass(slots=True)
 class Lease:
-    """A lease: its keys are deleted when it expires.
+    """A lease, whose keys are deleted when it expires or is revoked.
 
     Attributes:
-        id: Its id.
-        ttl: How long it lasts after a keep-alive, in seconds.
-        expires: When it expires, by the cluster's clock in seconds.
-        keys: Its keys.
+        id: The id of the lease.
+        ttl: The lifetime after a keep-alive, in seconds.
+        expires: The expiry, in seconds of the cluster's clock.
+        keys: The keys that are attached to the lease.
     """
 
     id: int
@@ -71,14 +71,14 @@
 
 
 class EtcdStore:
-    """One history, which all members of a fake cluster show.
+    """The key-value history that all members of a fake cluster share.
 
     Attributes:
-        cluster_id: The cluster's id in etcd's protocol.
+        cluster_id: The cluster id in etcd's protocol.
         revision: The newest committed revision.
         compacted: The revision of the last compaction.
-        term: The term of Raft.
-        leases: The leases by id.
+        term: The Raft term in response headers.
+        leases: The active leases, by id.
     """
 
     def __init__(self, cluster_id: int = CLUSTER_ID) -> None:
@@ -88,22 +88,22 @@
         self.compacted = 0
         self.term = 2
         self.leases: dict[int, Lease] = {}
-        self._next_lease = FIRST_LEASE_ID
-        # All keys that have a version, deleted or not, sorted.
+        self._next_lease_id = FIRST_LEASE_ID
+        # All keys that have a version, including deleted ones, in order.
         self._keys = list[bytes]()
-        # The versions of each key by revision; a deletion has version 0.
+        # The versions of each key in order of revision; a deletion has version 0.
         self._versions: dict[bytes, list[pb.KeyValue]] = {}
         self._events: dict[int, list[pb.Event]] = {}
-        # The events of the revision that is not committed yet.
+        # The events of the revision that is not yet committed.
         self._pending = list[pb.Event]()
 
     # Reading -------------------------------------------------------------------------------------
 
     def range(self, request: pb.RangeRequest, visible_revision: int | None = None) -> pb.RangeResponse:
-        """Answer a range request; `visible_revision` is the newest one that a lagging member knows.
+        """Answer a range request; `visible_revision` is the newest one that the member has applied.
 
         Raises:
-            GRPCError: Where there is no key, or the revision is compacted or in the future.
+            GRPCError: If the request has no key, or the revision is compacted or in the future.
         """
         found = self._kvs_in_range(request, self.revision if visible_revision is None else visible_revision)
         matching = [kv for kv in found if _matches_revision_bounds(kv, request)]
@@ -120,7 +120,7 @@
         return response
 
     def _kvs_in_range(self, request: pb.RangeRequest, newest: int) -> list[pb.KeyValue]:
-        """Return the keys of a request's range as they were at its revision, 0 for the newest."""
+        """Return the keys of a range request at its revision; 0 means the newest."""
         if not request.key:
             raise rpc_error(Status.INVALID_ARGUMENT, "key is not provided")
         if request.revision > newest:
@@ -147,7 +147,7 @@
         return versions[count - 1] if count and versions[count - 1].version else None
 
     def events(self, start: int, end: int, key: bytes, range_end: bytes) -> list[pb.Event]:
-        """Return the events of a range of keys from revision `start` up to `end`, both included."""
+        """Return the events of a range of keys from revision `start` to `end`, inclusive."""
         return [
             event
             for revision in range(start, end + 1)
@@ -155,10 +155,10 @@
             if _is_in_range(event.kv.key, key, range_end)
         ]
 
-    # Changing ------------------------------------------------------------------------------------
+    # Writing -------------------------------------------------------------------------------------
 
     def commit(self) -> None:
-        """Commit the pending events as one revision, if there are any."""
+        """Commit the pending events, if there are any, as one revision."""
         if self._pending:
             self.revision += 1
             self._events[self.revision] = self._pending
@@ -168,7 +168,8 @@
         """Write a key as part of the pending revision.
 
         Raises:
-            GRPCError: Where there is no key, or the lease or the old value does not exist.
+            GRPCError: If the request has no key, the lease does not exist, or the old value or lease of a missing key
+                is to be kept.
         """
         if not request.key:
             raise rpc_error(Status.INVALID_ARGUMENT, "key is not provided")
@@ -197,7 +198,7 @@
         """Delete a range as part of the pending revision.
 
         Raises:
-            GRPCError: Where there is no key.
+            GRPCError: If the request has no key.
         """
         if not request.key:
             raise rpc_error(Status.INVALID_ARGUMENT, "key is not provided")
@@ -226,20 +227,20 @@
             lease.keys.discard(kv.key)
 
     def txn(self, request: pb.TxnRequest) -> pb.TxnResponse:
-        """Compare, then carry out one branch as part of the pending revision.
+        """Evaluate the comparisons and execute one branch as part of the pending revision.
 
         Raises:
-            GRPCError: Where a branch is not valid; nothing is changed then.
+            GRPCError: If a branch is not valid; duplicate keys and unknown leases are found before any change.
         """
-        self._check(request.success)
-        self._check(request.failure)
-        succeeded = all(self._compare(compare) for compare in request.compare)
+        self._check_puts(request.success)
+        self._check_puts(request.failure)
+        succeeded = all(self._comparison_holds(compare) for compare in request.compare)
         response = pb.TxnResponse(succeeded=succeeded)
         for operation in request.success if succeeded else request.failure:
-            self._carry_out(operation, response)
+            self._execute_operation(operation, response)
         return response
 
-    def _carry_out(self, operation: pb.RequestOp, response: pb.TxnResponse) -> None:
+    def _execute_operation(self, operation: pb.RequestOp, response: pb.TxnResponse) -> None:
         match operation.WhichOneof("request"):
             case "request_range":
                 found = self.range(operation.request_range, self.revision + 1)
@@ -252,7 +253,7 @@
             case "request_txn":
                 response.responses.add(response_txn=self.txn(operation.request_txn))
 
-    def _check(self, branch: Iterable[pb.RequestOp]) -> None:
+    def _check_puts(self, branch: Iterable[pb.RequestOp]) -> None:
         puts = [op.request_put for op in branch if op.WhichOneof("request") == "request_put"]
         if len({put.key for put in puts}) < len(puts):
             raise rpc_error(Status.INVALID_ARGUMENT, "duplicate key given in txn request")
@@ -260,25 +261,25 @@
             if put.lease and put.lease not in self.leases:
                 raise rpc_error(Status.NOT_FOUND, "requested lease not found")
 
-    def _compare(self, compare: pb.Compare) -> bool:
+    def _comparison_holds(self, compare: pb.Compare) -> bool:
         field_name = COMPARE_FIELDS[compare.target]
-        compares = COMPARE_OPERATORS[compare.result]
+        compare_values = COMPARE_OPERATORS[compare.result]
         expected: Any = getattr(compare, field_name)
         for key in self._keys_in_range(compare.key, compare.range_end) or [compare.key]:
             kv = self._latest(key)
             if kv is None and field_name == "value":
-                # etcd: the value of a key that does not exist compares with nothing.
+                # In etcd every comparison with the value of a missing key is false.
                 return False
             actual: Any = getattr(kv, field_name) if kv else 0
-            if not compares(actual, expected):
+            if not compare_values(actual, expected):
                 return False
         return True
 
     def compact(self, revision: int) -> None:
-        """Remove what is only needed to read below a revision.
+        """Remove the history that is only needed for reads below a revision.
 
         Raises:
-            GRPCError: Where the revision is compacted already, or in the future.
+            GRPCError: If the revision is already compacted or in the future.
         """
         if revision <= self.compacted:
             raise rpc_error(Status.OUT_OF_RANGE, COMPACTED)
@@ -293,25 +294,25 @@
     # Leases --------------------------------------------------------------------------------------
 
     def grant(self, ttl: int, lease_id: int, now: float) -> Lease:
-        """Create a lease of `ttl` seconds; for an id of 0 the store chooses one.
+        """Create a lease of `ttl` seconds; if the id is 0, the store assigns one.
 
         Raises:
-            GRPCError: Where a lease has the id already.
+            GRPCError: If a lease with this id exists.
         """
         if lease_id in self.leases:
             raise rpc_error(Status.FAILED_PRECONDITION, "lease already exists")
         if not lease_id:
-            lease_id = self._next_lease
-            self._next_lease += 1
+            lease_id = self._next_lease_id
+            self._next_lease_id += 1
         lease = Lease(lease_id, ttl, now + ttl)
         self.leases[lease_id] = lease
         return lease
 
     def revoke(self, lease_id: int) -> None:
-        """End a lease and delete its keys, as one revision.
+        """Revoke a lease and delete its keys in one revision.
 
         Raises:
-            GRPCError: Where it does not exist.
+            GRPCError: If the lease does not exist.
         """
         lease = self.leases.pop(lease_id, None)
         if lease is None:
@@ -328,14 +329,14 @@
 
 
 def _matches_revision_bounds(kv: pb.KeyValue, request: pb.RangeRequest) -> bool:
-    """Return whether a key is within the bounds of a request; a bound of 0 is none."""
+    """Return whether a key is within the revision bounds of a request; 0 means no bound."""
     bounds = (
         (kv.mod_revision, request.min_mod_revision, request.max_mod_revision),
         (kv.create_revision, request.min_create_revision, request.max_create_revision),
     )
     return all(
-        (not least or revision >= least) and (not most or revision <= most)
-        for revision, least, most in bounds
+        (not minimum or revision >= minimum) and (not maximum or revision <= maximum)
+        for revision, minimum, maximum in bounds
     )
 
 
@@ -346,7 +347,7 @@
 
 
 def _compact_versions(versions: list[pb.KeyValue], revision: int) -> list[pb.KeyValue]:
-    """Return the versions from the one that is current at a revision on, without it where it is an older deletion."""
+    """Return the version that is current at a revision, unless it is an older deletion, and all later ones."""
     first = max(0, bisect_right(versions, revision, key=lambda kv: kv.mod_revision) - 1)
     is_deleted = versions[first].version == 0 and versions[first].mod_revision < revision
     return versions[first + 1 :] if is_deleted else versions[first:]
--- a/kestreltrack/testing/fakes/etcd/watches.py
+++ b/kestreltrack/testing/fakes/etcd/watches.py
@@ -1,6 +1,6 @@
-"""The Watch service of one member: several watches on a stream, progress, fragments, compaction, loss of the leader.
+"""The Watch service of a member: several watches per stream, progress, fragments, compaction and loss of the leader.
 
-Source: https://etcd.io/docs/v3.5/learning/api/#watch-api.
+See https://etcd.io/docs/v3.5/learning/api/#watch-api.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from kestreltrack.testing.fakes.etcd.members import FakeEtcdMember
 from kestreltrack.testing.fakes.etcd.store import rpc_error
 
-# Of a backlog, in one response: as etcd sends them.
+# The maximum number of revisions in a response to a watch that is behind, as in etcd.
 MAX_REVISIONS_PER_RESPONSE = 1000
-# The watch id of a response to a progress request, which is about all watches of the stream.
-PROGRESS_ID = -1
-# How long a stream whose connection was aborted waits for the cancellation of its task: longer than any test.
+# The watch id of responses that belong to no single watch: to a progress request and to a rejected creation.
+NO_WATCH_ID = -1
+# How long a stream with an aborted connection waits for the cancellation of its task: longer than any test.
 ABORTED_STREAM_WAIT_S = 3600.0
 
 
 @dataclass(slots=True)
 class WatchState:
-    """One watch: its request, and the next revision to send."""
+    """A watch, with its request and the next revision to send."""
 
     id: int
     request: pb.WatchCreateRequest
@@ -40,16 +40,16 @@
     """The Watch service."""
 
     def __init__(self, member: FakeEtcdMember) -> None:
-        """Create the service of one member."""
+        """Create the service of a member."""
         self.member = member
 
     async def Watch(self, stream: Stream[pb.WatchRequest, pb.WatchResponse]) -> None:
-        """Serve one stream until its client or a fault ends it."""
+        """Serve a stream until the client or a fault ends it."""
         await WatchStream(self.member, stream).serve()
 
 
 class WatchStream:
-    """One stream with its watches."""
+    """A watch stream with its watches."""
 
     def __init__(self, member: FakeEtcdMember, stream: Stream[pb.WatchRequest, pb.WatchResponse]) -> None:
         """Create a stream without watches."""
@@ -57,7 +57,7 @@
         self.store = member.cluster.store
         self.stream = stream
         self.watches: dict[int, WatchState] = {}
-        # Whether a response to a progress request is still to be sent.
+        # Whether a progress request is still to be answered.
         self.progress_requested = False
         metadata: Any = stream.metadata or {}
         self.needs_leader = metadata.get("hasleader") == "true"
@@ -65,7 +65,7 @@
         self.token = None if token is None else str(token)
 
     async def serve(self) -> None:
-        """Serve the stream until its client or a fault ends it."""
+        """Serve the stream until the client or a fault ends it."""
         self.member.watch_stream_count += 1
         reader = asyncio.create_task(self._read())
         try:
@@ -77,11 +77,11 @@
             reader.cancel()
 
     async def _send_and_wait(self, reader: asyncio.Task[None]) -> None:
-        """Send what is due, then wait until something changes or the reader ends."""
-        # It waits from before the sending on, so that no change is missed.
+        """Send the pending responses, then wait until something changes or the reader ends."""
+        # The wait begins before the responses are sent, so that no change is missed.
         change = asyncio.create_task(self.member.cluster.wait_for_change())
         try:
-            await self._send_due()
+            await self._send_pending()
             await asyncio.wait({change, reader}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             change.cancel()
@@ -105,7 +105,7 @@
             self._check_create(watch_id)
         except GRPCError as error:
             await self._send_response(
-                PROGRESS_ID, created=True, canceled=True, cancel_reason=error.message or ""
+                NO_WATCH_ID, created=True, canceled=True, cancel_reason=error.message or ""
             )
             return
         start_revision = request.start_revision or self.member.visible_revision() + 1
@@ -119,7 +119,7 @@
         """Check whether a watch can be created.
 
         Raises:
-            GRPCError: Where the token is not valid, there is no leader, or the id is in use.
+            GRPCError: If the token is not valid, the required leader is missing, or the id is in use.
         """
         self.member.cluster.check_token(self.token)
         if self.needs_leader and self.member.faults.no_leader:
@@ -135,11 +135,11 @@
         header = self.member.header(revision)
         await self.stream.send_message(pb.WatchResponse(header=header, watch_id=watch_id, **fields))
 
-    async def _send_due(self) -> None:
-        """Send what the watches have not seen; a hanging member sends nothing.
+    async def _send_pending(self) -> None:
+        """Send all events and progress that the watches have not received; a hanging member sends nothing.
 
         Raises:
-            GRPCError: Where the member has lost its leader and the client needs one.
+            GRPCError: If the member has no leader and the client requires one.
         """
         if self.member.faults.hang:
             return
@@ -147,10 +147,10 @@
             await self._cancel_all(NO_LEADER)
             raise rpc_error(Status.UNAVAILABLE, NO_LEADER)
         for watch in list(self.watches.values()):
-            await self._send(watch)
+            await self._send_new_events(watch)
         if self.progress_requested and self._all_up_to_date():
             self.progress_requested = False
-            await self._send_response(PROGRESS_ID)
+            await self._send_response(NO_WATCH_ID)
 
     async def _cancel_all(self, reason: str) -> None:
         for watch_id in list(self.watches):
@@ -161,8 +161,8 @@
         visible = self.member.visible_revision()
         return all(watch.next_revision > visible for watch in self.watches.values())
 
-    async def _send(self, watch: WatchState) -> None:
-        """Send the events of a watch up to the visible revision."""
+    async def _send_new_events(self, watch: WatchState) -> None:
+        """Send the unsent events of a watch, up to the visible revision."""
         while watch.id in self.watches:
             visible = self.member.visible_revision()
             if watch.next_revision > visible:
@@ -180,12 +180,12 @@
                 await self._send_events(watch, events)
 
     def _take_events(self, watch: WatchState, visible: int) -> list[pb.Event]:
-        """Return the next events that pass the filters of a watch, and advance it behind them."""
+        """Return the next events that pass the filters of a watch, and advance the watch past them."""
         end = min(visible, watch.next_revision + MAX_REVISIONS_PER_RESPONSE - 1)
         request = watch.request
         events = self.store.events(watch.next_revision, end, request.key, request.range_end)
         watch.next_revision = end + 1
-        # NOPUT and NODELETE of the filters have the numbers of PUT and DELETE.
+        # The filters NOPUT and NODELETE have the numeric values of the event types PUT and DELETE.
         filtered_types = {int(filter_type) for filter_type in request.filters}
         return [event for event in events if int(event.type) not in filtered_types]
 
@@ -198,18 +198,18 @@
     async def _send_events(self, watch: WatchState, events: list[pb.Event]) -> None:
         fragments = list(self._fragments(watch, events))
         for number, fragment in enumerate(fragments):
-            shown = fragment
+            sent_events = fragment
             if not watch.request.prev_kv:
-                shown = [pb.Event(type=event.type, kv=event.kv) for event in fragment]
-            await self._send_response(watch.id, events=shown, fragment=number < len(fragments) - 1)
+                sent_events = [pb.Event(type=event.type, kv=event.kv) for event in fragment]
+            await self._send_response(watch.id, events=sent_events, fragment=number < len(fragments) - 1)
             if self.member.faults.cut_in_batch and len(fragments) > 1:
                 self.member.faults.cut_in_batch = False
                 self.member.abort_connections()
-                # The abort ends this stream, and its task is cancelled here.
+                # The abort cancels the task of this stream, so that no further fragment is sent.
                 await asyncio.sleep(ABORTED_STREAM_WAIT_S)
 
     def _fragments(self, watch: WatchState, events: list[pb.Event]) -> Iterator[list[pb.Event]]:
-        """Yield the events in one list, or in fragments where they are too large and the client accepts fragments."""
+        """Yield the events in one list, or in fragments if they are too large and the client accepts fragments."""
         max_bytes = self.member.cluster.fragment_bytes
         fragment = list[pb.Event]()
         size = 0
