--- a/kestreltrack/testing/demo/display.py
+++ b/kestreltrack/testing/demo/display.py
@@ -1,4 +1,4 @@
-"""The demo's run, with a live view on a terminal and the table of its result (rich)."""
+"""Runs the demo, with a live view on a terminal and a table of the result."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 from kestreltrack.testing.demo.script import DemoScript, SummaryRow
 from kestreltrack.testing.fakes.destinations import FakeDestination, InjectedFault
 
-# Four times a second: often enough to follow.
+# Four updates per second are enough to follow the run.
 REFRESH_INTERVAL_S = 0.25
-# Lines of text below the view.
-MAX_MESSAGES = 10
-# Columns of the result that is written to a file or a pipe.
+# Lines of the progress log below the table of destinations.
+MAX_LOG_LINES = 10
+# The width of the result, in columns, when the output is not a terminal.
 REDIRECTED_WIDTH = 100
 COLUMNS = ("destination", "endpoints", "limit", "fault", "200", "429", "500/503")
 TEXT_COLUMNS = ("destination", "fault")
-# As a shell reports a process that Ctrl-C ended.
+# 128 + SIGINT, as shells report a process that was ended by Ctrl-C.
 INTERRUPTED_EXIT_CODE = 130
 
 
-class MessageLog:
-    """The newest lines of text about the run, which are printed too where there is no live view."""
+class ProgressLog:
+    """The newest progress lines for the live view; each line can also be printed to standard error."""
 
     def __init__(self, print_lines: bool) -> None:
-        """Start the clock of the lines."""
-        self.lines = deque[str](maxlen=MAX_MESSAGES)
+        """Start the clock for the timestamps; `print_lines` also prints each line."""
+        self.lines = deque[str](maxlen=MAX_LOG_LINES)
         self._print_lines = print_lines
         self._started_at = time.monotonic()
 
     def add(self, text: str) -> None:
-        """Add a line with the seconds since the start."""
+        """Add a line, prefixed with the seconds since the start."""
         line = f"{time.monotonic() - self._started_at:5.1f} s  {text}"
         self.lines.append(line)
         if self._print_lines:
@@ -74,7 +74,9 @@
     ]
 
 
-def _view(environment: DemoEnvironment, messages: MessageLog, started_at: float, seconds: float) -> Group:
+def _render_view(
+    environment: DemoEnvironment, progress_log: ProgressLog, started_at: float, seconds: float
+) -> Group:
     assert environment.load_generator
     table = Table(box=box.SIMPLE_HEAD, pad_edge=False)
     for header in COLUMNS:
@@ -87,25 +89,25 @@
         f"{elapsed_s:5.1f} of {seconds:g} s   accepted {accepted}   delivered {len(environment.delivered())}"
         f"   outstanding {len(environment.pending())}   sender {environment.sender.memory_mb():.0f} MB"
     )
-    return Group(summary, table, *(Text(line) for line in messages.lines))
+    return Group(summary, table, *(Text(line) for line in progress_log.lines))
 
 
 async def _refresh_view(
-    environment: DemoEnvironment, messages: MessageLog, seconds: float, console: Console
+    environment: DemoEnvironment, progress_log: ProgressLog, seconds: float, console: Console
 ) -> None:
     started_at = time.monotonic()
     with Live(console=console, refresh_per_second=1.0 / REFRESH_INTERVAL_S, transient=True) as live:
         while True:
-            live.update(_view(environment, messages, started_at, seconds))
+            live.update(_render_view(environment, progress_log, started_at, seconds))
             await asyncio.sleep(REFRESH_INTERVAL_S)
 
 
 @asynccontextmanager
 async def _live_view(
-    environment: DemoEnvironment, messages: MessageLog, seconds: float, console: Console
+    environment: DemoEnvironment, progress_log: ProgressLog, seconds: float, console: Console
 ) -> AsyncIterator[None]:
-    """Show the live view while the context is open."""
-    view = asyncio.create_task(_refresh_view(environment, messages, seconds, console))
+    """Show the live view within the context."""
+    view = asyncio.create_task(_refresh_view(environment, progress_log, seconds, console))
     try:
         yield
     finally:
@@ -115,14 +117,14 @@
 
 
 async def _run_script(
-    environment: DemoEnvironment, script: DemoScript, messages: MessageLog, seconds: float, rate: float
+    environment: DemoEnvironment, script: DemoScript, progress_log: ProgressLog, seconds: float, rate: float
 ) -> list[SummaryRow]:
-    """Run the load beside the script, wait for the outstanding messages, and return the result."""
+    """Run the load and the script concurrently, wait for the outstanding messages and return the result."""
     assert environment.load_generator
     await asyncio.gather(
         environment.load_generator.run(rate, seconds, environment.draw_message), script.run(seconds)
     )
-    messages.add("the load has ended; waiting for the outstanding messages")
+    progress_log.add("the load has ended; waiting for the outstanding messages")
     await environment.wait_until_settled()
     return script.summary_rows()
 
@@ -131,18 +133,18 @@
     environment: DemoEnvironment, seconds: float, rate: float, as_json: bool
 ) -> list[SummaryRow]:
     console = Console(stderr=True)
-    messages = MessageLog(print_lines=not as_json and not console.is_terminal)
-    script = DemoScript(environment, messages.add)
+    progress_log = ProgressLog(print_lines=not as_json and not console.is_terminal)
+    script = DemoScript(environment, progress_log.add)
     try:
         await environment.start()
-        messages.add(
+        progress_log.add(
             f"the sender is ready: {len(environment.endpoints)} endpoints of "
             f"{len(environment.destinations)} destinations"
         )
         if as_json or not console.is_terminal:
-            return await _run_script(environment, script, messages, seconds, rate)
-        async with _live_view(environment, messages, seconds, console):
-            return await _run_script(environment, script, messages, seconds, rate)
+            return await _run_script(environment, script, progress_log, seconds, rate)
+        async with _live_view(environment, progress_log, seconds, console):
+            return await _run_script(environment, script, progress_log, seconds, rate)
     finally:
         await environment.stop()
 
@@ -169,14 +171,14 @@
 def run_demo(
     seconds: float, rate: float, as_json: bool, log_file: Path | None, capture_folder: Path | None = None
 ) -> int:
-    """Run the demo and return its exit code: 0 if all checks passed, 1 if not, 130 after Ctrl-C or SIGTERM.
+    """Run the demo and return the exit code: 0 if all checks passed, 1 if not, 130 after Ctrl-C or SIGTERM.
 
     Args:
-        seconds: The duration of the load.
-        rate: Messages a second.
-        as_json: Print the result as JSON, and no view.
-        log_file: Where the sender's log goes; None: nowhere.
-        capture_folder: Where a capture goes; None: no capture.
+        seconds: The duration of the load in seconds.
+        rate: The number of messages per second.
+        as_json: Print the result as JSON, without a live view.
+        log_file: The file for the sender's log; None for no log.
+        capture_folder: The folder for a capture; None for no capture.
     """
     try:
         with asyncio.Runner() as runner:
--- a/kestreltrack/testing/demo/environment.py
+++ b/kestreltrack/testing/demo/environment.py
@@ -1,4 +1,4 @@
-"""The demo's sender process among fakes: three members of etcd, twenty destinations, the platform, clients."""
+"""The demo's sender process with fakes of three etcd members, the platform, twenty destinations and clients."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from kestreltrack.testing.fakes.platform import FakePlatform
 from kestreltrack.testing.harness.sender_process import SenderProcess
 
-# Of the demo's keys in etcd.
+# The prefix of the demo's keys in etcd.
 ETCD_PREFIX = "/demo/"
-# The platform's settings of the sender, as its configuration file has them.
+# The sender's platform settings, in the format of its configuration file.
 SETTINGS: dict[str, Any] = {
     "allowed": {
         "cancel": True,
@@ -65,24 +65,24 @@
     "telemetry": {"fields": ["x0", "x1"], "how": "answers"},
     "weights": "nominal",
 }
-# How messages divide into the classes of SETTINGS.
+# The share of messages in the class `unsafe`; the others are in the class `keyed`.
 UNSAFE_SHARE = 0.4
-# The rate limit, in calls a second, of the destinations that have one: each fourth.
+# The rate limit of every fourth destination, in calls per second; the others have none.
 RATE_LIMIT_PER_S = 12.0
-# How long the demo waits for the outstanding messages at most: their deadline, and time for a notification.
+# The maximum wait for outstanding messages: their deadline of 8 s, and time for a notification.
 SETTLE_TIMEOUT_S = 12.0
 SETTLE_CHECK_INTERVAL_S = 0.05
 
 
 class DemoEnvironment:
-    """The sender process and all that it talks to.
+    """The sender process and the fakes that it communicates with.
 
     Attributes:
-        etcd_cluster: The fake etcd, which has the endpoint list.
+        etcd_cluster: The fake etcd, which holds the endpoint list.
         platform: The fake platform, which receives the status notifications.
         sender: The sender process.
         destinations: The fake destinations, by number from 1.
-        endpoints: Their endpoints, one or two each.
+        endpoints: The endpoints of the destinations, one or two each.
         load_generator: The fake clients; None before `start`.
     """
 
@@ -94,14 +94,14 @@
         log: Path | None = None,
         capture: Path | None = None,
     ) -> None:
-        """Create all parts; nothing listens before `start`.
+        """Create the sender and the fakes, which are started in `start`.
 
         Args:
-            folder: For the sender's files.
-            seed: Of all random numbers.
-            destination_count: How many destinations.
-            log: The file for the sender's log; None: no log.
-            capture: The folder for a capture; None: no capture.
+            folder: The folder for the sender's files.
+            seed: The seed of all random numbers.
+            destination_count: The number of destinations.
+            log: The file for the sender's log; None for no log.
+            capture: The folder for a capture; None for no capture.
         """
         self.random = random.Random(seed)
         self.capture = capture
@@ -131,7 +131,7 @@
         return FakeEndpoint(f"p{destination.dest:02d}-{number}", destination, rng)
 
     async def start(self) -> None:
-        """Start all parts; returns once the sender is ready."""
+        """Start the fakes and the sender; return when the sender is ready."""
         await self.etcd_cluster.start()
         await self.platform.listen()
         for endpoint in self.endpoints:
@@ -141,7 +141,7 @@
         self.load_generator = LoadGenerator(self.sender.listen_address, self.random.randrange(1 << 30))
 
     def operator_environment(self) -> dict[str, str]:
-        """Write the operator's settings file, which names the fake etcd, and return the variables for the sender."""
+        """Write the operator's file, which names the fake etcd; return the sender's environment variables."""
         file = self.folder / "operator.toml"
         members = ", ".join(f'"{address}"' for address in self.etcd_cluster.addresses)
         file.write_text(
@@ -154,32 +154,32 @@
         return variables
 
     def publish_endpoint(self, endpoint: FakeEndpoint, lifecycle: str = "up") -> int:
-        """Write an endpoint's entry in etcd and return the revision."""
+        """Write an endpoint's entry to etcd and return the revision."""
         value = orjson.dumps(endpoint.discovery_row(lifecycle)).decode()
         return self.etcd_cluster.put(f"{ETCD_PREFIX}endpoints/{endpoint.uid}", value)
 
     def draw_message(self, rng: random.Random) -> tuple[int, str]:
-        """Return the destination and the class of a message; a few destinations get most of them."""
+        """Draw the destination and the class of a message; a few destinations receive most messages."""
         dest = rng.choices(range(1, len(self.destinations) + 1), self.destination_weights)[0]
         return dest, "unsafe" if rng.random() < UNSAFE_SHARE else "keyed"
 
     async def wait_until_settled(self, seconds: float = SETTLE_TIMEOUT_S) -> None:
-        """Wait until no message is outstanding, for `seconds` at most."""
+        """Wait until no message is outstanding, at most `seconds`."""
         deadline = time.monotonic() + seconds
         while self.pending() and time.monotonic() < deadline:
             await asyncio.sleep(SETTLE_CHECK_INTERVAL_S)
 
     def delivered(self) -> set[str]:
-        """Return the messages that an endpoint has answered with 200."""
+        """Return the ids of the messages that an endpoint has answered with 200."""
         return set().union(*(endpoint.delivered for endpoint in self.endpoints))
 
     def pending(self) -> set[str]:
-        """Return the messages that were accepted and have not ended."""
+        """Return the ids of the accepted messages without a delivery or a status notification."""
         assert self.load_generator
         return set(self.load_generator.results.accepted) - self.delivered() - set(self.platform.notifications)
 
     def executed_more_than_once(self) -> set[str]:
-        """Return the messages that were executed more than once."""
+        """Return the ids of the messages that were executed more than once."""
         return {
             message_id
             for destination in self.destinations
@@ -188,7 +188,7 @@
         }
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop the sender and the fakes."""
         if self.load_generator:
             self.load_generator.close()
         await self.sender.stop()
--- a/kestreltrack/testing/demo/script.py
+++ b/kestreltrack/testing/demo/script.py
@@ -1,4 +1,4 @@
-"""The demo's script: the faults and drains beside the load, and the checks at the end."""
+"""The demo's script: faults and drains under load, and the checks of the result."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from kestreltrack.testing.fakes.destinations import FakeEndpoint
 from kestreltrack.testing.fakes.load_generator import SubmissionResults
 
-# After this time a draining endpoint must not be called any more.
+# The time after a drain from which the endpoint must receive no more calls.
 DRAIN_GRACE_MS = 500.0
-# How often the script drains an endpoint.
+# The number of drains in the script.
 EXPECTED_DRAINS = 3
-# The least share of the accepted messages that must be delivered, in spite of the faults.
+# The minimum share of the accepted messages that must be delivered despite the faults.
 MIN_DELIVERED_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class ObservedDrain:
-    """One drain; its times are of `time.monotonic`, in seconds.
+    """A drain of an endpoint; its times are in seconds of `time.monotonic`.
 
     Attributes:
-        endpoint: The endpoint that was drained.
-        written_at: When the drain was written in etcd.
-        undrained_at: When the endpoint was returned to service.
+        endpoint: The drained endpoint.
+        written_at: The time at which the drain was written to etcd.
+        undrained_at: The time at which the endpoint was returned to service.
     """
 
     endpoint: FakeEndpoint
@@ -38,7 +38,7 @@
     undrained_at: float = float("inf")
 
     def last_call_delay_ms(self) -> float:
-        """Return how long after the drain the last call came; 0 where none came."""
+        """Return the time from the drain to the last call before the undrain; 0 if there was none."""
         delays_s = [
             called_at - self.written_at
             for called_at, _ in self.endpoint.calls
@@ -48,13 +48,13 @@
 
 
 class SummaryRow(NamedTuple):
-    """One line of the result.
+    """A row of the result.
 
     Attributes:
-        key: The key of the value in the JSON, which stays as it is for the programs that read it.
-        label: What the table calls the value.
+        key: The key in the JSON output, which is kept stable for programs that read it.
+        label: The label in the table.
         value: The value.
-        passed: Whether the value is as it must be.
+        passed: Whether the value meets its requirement.
     """
 
     key: str
@@ -67,19 +67,19 @@
     """Injects faults and drains endpoints while the load runs.
 
     Attributes:
-        drains: The drains that were written.
-        failures: The commands that failed.
+        drains: The drains that succeeded.
+        failures: The error messages of failed commands.
     """
 
     def __init__(self, environment: DemoEnvironment, report: Callable[[str], None]) -> None:
-        """Create a script; `report` is called with a line of text for each thing that happens."""
+        """Create a script; `report` is called with a line of text for each step."""
         self.environment = environment
         self.report = report
         self.drains = list[ObservedDrain]()
         self.failures = list[str]()
 
     async def run(self, seconds: float) -> None:
-        """Run the script in `seconds`, the duration of the load."""
+        """Run the script, scaled to `seconds`, the duration of the load."""
         tenth_s = seconds / 10.0
         endpoints = self.environment.endpoints
         await asyncio.sleep(1.5 * tenth_s)
@@ -89,7 +89,7 @@
         await asyncio.sleep(0.5 * tenth_s)
         first_drain = await self.drain(endpoints[0])
         await asyncio.sleep(tenth_s)
-        member = await self._refuse_at_watched_member()
+        member = await self._take_down_watched_member()
         await asyncio.sleep(0.5 * tenth_s)
         failing.recover()
         self.report(f"destination {failing.dest} recovers and warms up")
@@ -97,7 +97,7 @@
         await asyncio.sleep(1.5 * tenth_s)
         await self.environment.etcd_cluster.apply_fault(member, "heal")
         self.report(f"etcd member {member} recovers")
-        # A drain whose command failed is told by the result, and there is nothing to undo.
+        # A failed drain is reported in the result and needs no undrain.
         if first_drain:
             await self.undrain(first_drain)
         await asyncio.sleep(tenth_s)
@@ -109,8 +109,8 @@
         hanging.recover()
         self.report(f"destination {hanging.dest} recovers and warms up")
 
-    async def _refuse_at_watched_member(self) -> int:
-        """Make the etcd member that the sender watches refuse connections, and return its number."""
+    async def _take_down_watched_member(self) -> int:
+        """Take down the etcd member that the sender watches, and return its number."""
         cluster = self.environment.etcd_cluster
         member = next((member.number for member in cluster.members if member.watch_stream_count), 0)
         self.report(f"etcd member {member} aborts its connections and refuses new ones")
@@ -118,9 +118,9 @@
         return member
 
     async def drain(self, endpoint: FakeEndpoint) -> ObservedDrain | None:
-        """Drain an endpoint by the operators' command; its time counts from the write in etcd.
+        """Drain an endpoint with the operator's command, or return None if the command fails.
 
-        Returns None where the command failed.
+        The drain is timed from its write in etcd.
         """
         answer = await self.run_command("drain", endpoint.uid, "--wait", "--json")
         if answer is None:
@@ -129,7 +129,9 @@
         drain = ObservedDrain(endpoint, written_at)
         self.drains.append(drain)
         took_ms = (time.monotonic() - written_at) * 1000.0
-        self.report(f"{endpoint.uid} is draining; all senders knew {took_ms:.0f} ms after the write")
+        self.report(
+            f"{endpoint.uid} is draining; all senders had applied it within {took_ms:.0f} ms of the write"
+        )
         return drain
 
     async def undrain(self, drain: ObservedDrain) -> None:
@@ -139,7 +141,7 @@
             self.report(f"{drain.endpoint.uid} is up again")
 
     async def run_command(self, *arguments: str) -> dict[str, Any] | None:
-        """Run `kestreltrack directory` as a process and return its JSON; None where it failed: the demo fails too."""
+        """Run `kestreltrack directory` and return its JSON output; None if it fails, which fails the demo."""
         variables = self.environment.operator_environment()
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -161,7 +163,7 @@
         return document
 
     def summary_rows(self) -> list[SummaryRow]:
-        """Return the lines of the result."""
+        """Return the rows of the result."""
         assert self.environment.load_generator
         results = self.environment.load_generator.results
         return [
@@ -179,9 +181,9 @@
         notified = accepted.intersection(notifications)
         repeated = {message_id for message_id in notified if len(notifications[message_id]) > 1}
         contradicted = {message_id for message_id in repeated if len(set(notifications[message_id])) > 1}
-        # A report is posted again where the platform's answer came too late for it; such a repeat does no harm.
-        unexcused = repeated - environment.platform.unanswered
-        ended_twice = contradicted | unexcused | (notified & delivered)
+        # A sender repeats a notification if it gave up on the platform's response; such a repeat is harmless.
+        unexplained = repeated - environment.platform.unanswered
+        ended_twice = contradicted | unexplained | (notified & delivered)
         delivered_count = len(delivered & accepted)
         pending = environment.pending()
         executed_twice = environment.executed_more_than_once()
