--- a/kestreltrack/testing/emulator/scoring.py
+++ b/kestreltrack/testing/emulator/scoring.py
@@ -1,12 +1,12 @@
-"""The service score of a simulated day, computed from the stream of events.
+"""The service score of a run, computed from the stream of events.
 
 Each message that a client requests has a priority weight; retries by the client belong to its first submission.  A
 message that is delivered within its latency objective earns its whole weight.  A later one earns less: either
 linearly down to the late weight at the deadline, or half as much with each further latency objective.  What exceeds
-the tenant's quota counts a fraction only (5 % by default).
+the tenant's quota counts only in part (5 % by default).
 
-The figure combines the whole day, the worst window, the worst message class and the worst tenant, and deducts prices
-for wasted work, rejected calls, new connections, late failures and costs of zones.  A rejected call of several
+The score is a weighted sum over the whole run, the worst window, the worst message class and the worst tenant, less
+deductions for wasted work, rejected calls, new connections, late failures and zone costs.  A rejected call of several
 messages counts once.
 """
 
@@ -24,7 +24,7 @@
 )
 from kestreltrack.testing.emulator.scenario import MessageClassTable, Scenario
 
-# Keeps the share of wasted work defined on a day without any work.
+# Avoids a division by zero in a run without any work.
 MIN_WORK_MS = 1e-9
 
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class ServiceScore:
-    """The figure of a day and its components.
+    """The score of a run and its components.
 
     The names of the fields are keys of the output of `emulate --json`.
     """
@@ -75,11 +75,11 @@
 
 
 class _MessageTotals:
-    """Sums over the messages of a day."""
+    """Sums over the messages of a run."""
 
     def __init__(self, window_s: int) -> None:
         self.window_s = window_s
-        self.day = UtilityTally()
+        self.overall = UtilityTally()
         self.windows = defaultdict[int, UtilityTally](UtilityTally)
         """By the second in which the window begins."""
         self.classes = defaultdict[str, UtilityTally](UtilityTally)
@@ -94,7 +94,7 @@
         self, requested_at: float, request: MessageRequested, priority_weight: float, utility_fraction: float
     ) -> None:
         """Count a message in each of the tallies that it belongs to."""
-        self.day.add(priority_weight, utility_fraction)
+        self.overall.add(priority_weight, utility_fraction)
         self.classes[request.cls].add(priority_weight, utility_fraction)
         last_window = int(requested_at / 1000.0)
         first_window = max(0, last_window - self.window_s + 1)
@@ -167,14 +167,14 @@
             return float(0.5 ** ((latency_ms - cls.aim_ms) / cls.aim_ms))
         return 1.0 - (1.0 - cls.late_worth) * (latency_ms - cls.aim_ms) / (cls.deadline_ms - cls.aim_ms)
 
-    def utility_of(self, asked: MessageRequested, requested_at: float, delivered_at: float) -> float:
+    def utility_of(self, request: MessageRequested, requested_at: float, delivered_at: float) -> float:
         """Return the utility of a message that was requested and delivered at these times (ms)."""
-        return self._priority_weight(asked) * self._utility_fraction(
-            delivered_at - requested_at, self._classes[asked.cls]
+        return self._priority_weight(request) * self._utility_fraction(
+            delivered_at - requested_at, self._classes[request.cls]
         )
 
     def score(self) -> ServiceScore:
-        """Return the score of all that was counted."""
+        """Return the score of the events so far."""
         totals = self._sum_messages()
         weights = self.scenario.worth
         deductions = self._deductions(totals)
@@ -183,7 +183,7 @@
         worst_class = min((tally.share() for tally in totals.classes.values()), default=1.0)
         worst_tenant = min((tally.share() for tally in totals.tenants.values()), default=1.0)
         figure = (
-            weights.whole * totals.day.share()
+            weights.whole * totals.overall.share()
             + weights.worst_window * worst_window
             + weights.worst_class * worst_class
             + weights.worst_firm * worst_tenant
@@ -191,7 +191,7 @@
         )
         return ServiceScore(
             figure=figure,
-            whole=totals.day.share(),
+            whole=totals.overall.share(),
             worst_window=worst_window,
             worst_class=worst_class,
             worst_firm=worst_tenant,
@@ -229,12 +229,12 @@
         return totals
 
     def _window_shares(self, totals: _MessageTotals) -> list[float]:
-        """Return the earned share of each window that lies within the day."""
+        """Return the earned share of each window that lies within the time in which messages arrive."""
         last_window = int(self.scenario.day.length_s - self.scenario.worth.window_s)
         return [totals.windows[second].share() for second in range(max(1, last_window + 1))]
 
     def _deductions(self, totals: _MessageTotals) -> dict[str, float]:
-        """Return what is deducted from the figure, by its reason.
+        """Return what is deducted from the score, by reason.
 
         The reasons are keys of the output of `emulate --json`.
         """
