--- a/kestreltrack/testing/emulator/result.py
+++ b/kestreltrack/testing/emulator/result.py
@@ -1,4 +1,4 @@
-"""The result of a simulated scenario: score, violations of invariants, counts; and the comparison with a baseline."""
+"""The result of a run: score, violations of invariants and counts; and the comparison with a baseline."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from kestreltrack.testing.emulator.simulated_sender import SilentTelemetry
 from kestreltrack.testing.emulator.simulation import Simulation, emulate
 
-# Captures of a simulated run are kept whole: no limit on their size or age.
+# Captures of a run are kept complete: these limits on their size and age are never reached.
 MAX_CAPTURE_BYTES = 10**12
 MAX_CAPTURE_AGE_S = 1e9
 
-# Size from which a capture continues in a new file.
+# Size from which on a capture continues in a new file.
 CAPTURE_FILE_BYTES = 16_000_000
 
-# The limit that the invariants assume until the simulation has drawn the real one.
+# The concurrency limit that the invariants assume until the simulation has drawn the real one.
 UNLIMITED_CONCURRENCY = 10**9
 
 
@@ -91,18 +91,18 @@
         latency = score.latency_ms or [0.0]
         rows = [
             ["service", f"{score.figure:.3f}"],
-            ["of the whole day", f"{score.whole:.3f}"],
+            ["of the whole run", f"{score.whole:.3f}"],
             ["of the worst window", f"{score.worst_window:.3f}"],
             ["of the worst class", f"{score.worst_class:.3f}"],
-            ["of the worst firm", f"{score.worst_firm:.3f}"],
-            *([f"off for {name}", f"{value:.4f}"] for name, value in score.deductions.items()),
+            ["of the worst tenant", f"{score.worst_firm:.3f}"],
+            *([f"deducted for {name}", f"{value:.4f}"] for name, value in score.deductions.items()),
             ["messages", str(score.messages)],
             [
                 "on time, late, not delivered",
                 f"{score.on_time}, {score.late}, {score.messages - score.on_time - score.late}",
             ],
             ["latency, median and 99th", f"{np.median(latency):.0f} and {np.percentile(latency, 99):.0f} ms"],
-            ["attempts, refused by partners", f"{score.attempts}, {score.refused_calls}"],
+            ["attempts, rejected by destinations", f"{score.attempts}, {score.refused_calls}"],
             ["new connections", str(score.connections)],
             ["rules", "kept" if not self.violations else f"{len(self.violations)} BROKEN"],
             ["simulated", f"{self.simulated_s:.1f} s in {self.elapsed_s:.1f} s"],
@@ -129,7 +129,7 @@
     """Captures of all senders; the incarnations of a sender follow each other in its folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Create captures below a folder, which need not exist."""
+        """Create captures in a folder, which is created where it does not exist."""
         self.folder = folder
         self._open = dict[int, Recorder]()
 
@@ -144,7 +144,7 @@
         return recorder
 
     def close(self, sender: int) -> None:
-        """Write the rest of a sender's capture, at the end of an incarnation."""
+        """Complete and close a sender's capture at the end of an incarnation."""
         recorder = self._open.pop(sender, None)
         if recorder is not None:
             recorder.close(recorder.policy.now)
@@ -167,8 +167,8 @@
     """Run a scenario, score it and check the invariants.
 
     `runner` runs it in virtual time or by real processes.  `sender_count` is the number of senders that each sender
-    assumes.  `replacement_decider` creates what decides in the place of each sender's policy.  `capacity_bound`
-    listens too, and its score is part of the result.
+    assumes.  `replacement_decider` creates the decider that replaces each sender's policy.  `capacity_bound`
+    is a further listener, and its score is part of the result.
 
     Raises:
         InvalidScenarioError: The runner cannot run the scenario.
@@ -186,12 +186,12 @@
         invariants.independent_destinations = simulation.independent_destinations
 
     decider = _replace_policy(replacement_decider) if replacement_decider else captures
-    began_at_s = time.perf_counter()
+    started_at_s = time.perf_counter()
     simulation = runner(scenario, seed, tuple(listeners), decider, sender_count, on_created)
     if captures:
         captures.close_all()
     violations = invariants.finish(event_counter.last_event_at)
-    elapsed_s = time.perf_counter() - began_at_s
+    elapsed_s = time.perf_counter() - started_at_s
     return RunResult(
         scenario=scenario.name,
         seed=seed,
@@ -227,7 +227,7 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """The policy compared with a single attempt a message under the same conditions, and with the capacity bound."""
+    """The policy compared with one attempt per message under the same conditions, and with the capacity bound."""
 
     policy: RunResult
     baseline: RunResult
@@ -248,16 +248,16 @@
         scores = [*(result.score for result in results), self.capacity_bound]
         return [
             ["service", *(f"{score.figure:.3f}" for score in scores)],
-            ["of the whole day", *(f"{score.whole:.3f}" for score in scores)],
+            ["of the whole run", *(f"{score.whole:.3f}" for score in scores)],
             ["of the worst window", *(f"{score.worst_window:.3f}" for score in scores)],
             ["on time, late", *(f"{score.on_time}, {score.late}" for score in scores)],
-            ["refused calls", *(str(score.refused_calls) for score in scores[:2]), ""],
+            ["rejected calls", *(str(score.refused_calls) for score in scores[:2]), ""],
             ["rules broken", *(str(len(result.violations)) for result in results), ""],
         ]
 
 
 def compare(scenario: Scenario, seed: int, capture_folder: Path | None = None) -> Comparison:
-    """Run a scenario twice with common random numbers: by the policy, and by one attempt in order of arrival."""
+    """Run a scenario with the policy and with the single-attempt policy, under common random numbers."""
     bound = CapacityBound(scenario)
     policy_result = run_scenario(scenario, seed, capture_folder, capacity_bound=bound)
     assert policy_result.capacity_bound is not None
