--- a/kestreltrack/testing/emulator/random_scenario.py
+++ b/kestreltrack/testing/emulator/random_scenario.py
@@ -1,6 +1,6 @@
-"""A whole deployment and a short day, drawn from one seed: fleet, destinations, limits, classes and faults.
+"""Generates a random scenario from a seed: fleet, destinations, limits, message classes and faults.
 
-Each figure comes from the range that the two sites known so far span, or from a wider one.
+The range of each parameter covers at least the values of the two known sites.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from kestreltrack.testing.emulator.random_streams import RandomStreams
 from kestreltrack.testing.emulator.scenario import Scenario, scenario_from_table
 
-# Rate at full load: the simulation of a drawn day should take seconds.
+# Upper bound of the rate at full load, which keeps the simulation of a random scenario to seconds.
 MAX_MESSAGES_PER_S = 150.0
 
 ENDPOINT_COUNTS = {"one": (1.0, 1.0), "few": (1.0, 2.99), "many": (2.0, 6.99)}
@@ -20,18 +20,18 @@
 
 
 class ParameterSampler:
-    """Draws parameters from one stream; their order determines the scenario."""
+    """Draws parameters from one stream; a different order of the draws gives a different scenario."""
 
     def __init__(self, rng: np.random.Generator) -> None:
-        """Create a sampler on a stream."""
+        """Create a sampler at the current position of a generator."""
         self.rng = rng
 
     def uniform(self, low: float, high: float) -> float:
-        """Return a number from a range, to four decimal places."""
+        """Return a uniform number from a range, rounded to four decimal places."""
         return round(float(self.rng.uniform(low, high)), 4)
 
     def log_uniform(self, low: float, high: float) -> float:
-        """Return a number from a range whose logarithm is uniform."""
+        """Return a number from a range with a uniform logarithm."""
         return float(np.exp(self.rng.uniform(np.log(low), np.log(high))))
 
     def bernoulli(self, probability: float = 0.5) -> bool:
@@ -46,34 +46,34 @@
 def draw_scenario(seed: int, length_s: float | None = None) -> Scenario:
     """Return the scenario of a seed; equal seeds give equal scenarios.
 
-    Its day takes `length_s`, by default 20 to 40 s as drawn.
+    Messages arrive for `length_s`, by default for a random time of 20 to 40 s.
     """
     streams = RandomStreams(seed)
     sampler = ParameterSampler(streams.generator("deployment"))
     zones = [f"z{n + 1}" for n in range(sampler.choice(1, 2, 3, 4))]
-    partners = round(sampler.log_uniform(3, 40))
-    full_rate_per_s = min(MAX_MESSAGES_PER_S, partners * sampler.uniform(3.0, 6.0))
-    kinds = _kinds(ParameterSampler(streams.generator("kinds")))
+    destination_count = round(sampler.log_uniform(3, 40))
+    full_rate_per_s = min(MAX_MESSAGES_PER_S, destination_count * sampler.uniform(3.0, 6.0))
+    kinds = _destination_kinds(ParameterSampler(streams.generator("kinds")))
     kind_names = [kind["name"] for kind in kinds]
     drawn_length_s = sampler.uniform(20.0, 40.0)
-    day_s = length_s or drawn_length_s
+    arrival_duration_s = length_s or drawn_length_s
     # The values are drawn in the order of the keys.
     table: dict[str, Any] = {
         "name": f"drawn-{seed}",
-        "partners": partners,
-        "day": {"length_s": day_s, "tail_s": 40.0},
+        "partners": destination_count,
+        "day": {"length_s": arrival_duration_s, "tail_s": 40.0},
         "fleet": _fleet(sampler, zones),
         "net": {"handshake_rtts": sampler.choice([1, 2], [2, 3]), "keepalive_s": sampler.choice(5.0, 10.0)},
         "load": _load(sampler, full_rate_per_s),
         "clients": {"backoff": sampler.choice("fixed", "exp"), "honour": sampler.uniform(0.4, 1.0)},
         "directory": _discovery(sampler),
-        "knows": _knowledge(sampler),
+        "knows": _sender_knowledge(sampler),
         "rules": {"fall_multiple": sampler.uniform(2.0, 2.5), "fall_ms": sampler.choice(2000.0, 3000.0)},
         "worth": _scoring(sampler),
         "firm": _tenants(sampler),
-        "class": _classes(ParameterSampler(streams.generator("classes")), kind_names),
+        "class": _message_classes(ParameterSampler(streams.generator("classes")), kind_names),
         "kind": kinds,
-        "trouble": _faults(ParameterSampler(streams.generator("troubles")), day_s),
+        "trouble": _faults(ParameterSampler(streams.generator("troubles")), arrival_duration_s),
     }
     return scenario_from_table(table, table["name"])
 
@@ -110,7 +110,7 @@
     }
 
 
-def _knowledge(sampler: ParameterSampler) -> dict[str, Any]:
+def _sender_knowledge(sampler: ParameterSampler) -> dict[str, Any]:
     return {
         "weights": sampler.choice("none", "rough", "exact"),
         "reports": sampler.bernoulli(),
@@ -143,8 +143,8 @@
     ]
 
 
-def _classes(sampler: ParameterSampler, kinds: list[str]) -> list[dict[str, Any]]:
-    found = list[dict[str, Any]]()
+def _message_classes(sampler: ParameterSampler, kinds: list[str]) -> list[dict[str, Any]]:
+    tables = list[dict[str, Any]]()
     for n, share in enumerate(_random_shares(sampler, sampler.choice(1, 1, 2, 3))):
         latency_objective_ms = sampler.uniform(1500, 5000)
         deadline_ms = sampler.uniform(10_000, 30_000)
@@ -153,7 +153,7 @@
             "key_window_ms": sampler.choice(15_000.0, 25_000.0),
             "scope": sampler.choice("all", "zone"),
         }
-        found.append(
+        tables.append(
             {
                 "name": f"c{n}",
                 "share": share,
@@ -168,15 +168,15 @@
                 "kinds": [kinds[0]] if n and sampler.bernoulli(0.3) else [],
             }
         )
-    return found
+    return tables
 
 
-def _kinds(sampler: ParameterSampler) -> list[dict[str, Any]]:
+def _destination_kinds(sampler: ParameterSampler) -> list[dict[str, Any]]:
     count = sampler.choice(1, 2, 2, 3)
     min_cold_share = sampler.uniform(0.12, 0.3)
-    found = list[dict[str, Any]]()
+    tables = list[dict[str, Any]]()
     for n, share in enumerate(_random_shares(sampler, count)):
-        found.append(
+        tables.append(
             {
                 "name": f"k{n}",
                 "share": share,
@@ -202,7 +202,7 @@
                 "cold_from": [min_cold_share, min_cold_share + 0.08],
             }
         )
-    return found
+    return tables
 
 
 # Ranges of the parameters of each kind of fault.
@@ -226,20 +226,23 @@
 )
 
 
-def _faults(sampler: ParameterSampler, day_s: float) -> list[dict[str, Any]]:
-    """Return one to four faults, which begin in the first 60 % of the day and last at most half of it."""
-    found = list[dict[str, Any]]()
+def _faults(sampler: ParameterSampler, arrival_duration_s: float) -> list[dict[str, Any]]:
+    """Return one to four faults.
+
+    Each begins after 10 to 60 % of the time in which messages arrive, and lasts at most half of that time.
+    """
+    tables = list[dict[str, Any]]()
     permutation = sampler.rng.permutation(len(FAULT_RANGES))
     count = sampler.choice(1, 2, 3, 4)
     for n in sorted(permutation[:count].tolist()):
         row = {
             key: value if key == "kind" else sampler.uniform(*value) for key, value in FAULT_RANGES[n].items()
         }
-        row["for_s"] = min(row["for_s"], 0.5 * day_s)
+        row["for_s"] = min(row["for_s"], 0.5 * arrival_duration_s)
         row |= {
-            "at_s": sampler.uniform(0.1 * day_s, 0.6 * day_s),
+            "at_s": sampler.uniform(0.1 * arrival_duration_s, 0.6 * arrival_duration_s),
             "by": sampler.choice("", "kind", "zone"),
             "whole": 0.8,
         }
-        found.append(row)
-    return found
+        tables.append(row)
+    return tables
