--- a/kestreltrack/testing/emulator/random_streams.py
+++ b/kestreltrack/testing/emulator/random_streams.py
@@ -1,8 +1,8 @@
 """Named streams of random numbers from one seed, and distributions by their names in scipy.stats.
 
-Each use of random numbers has a stream of its own (numpy's `SeedSequence` with a spawn key made of its name).  Two
-policies therefore meet the same conditions: where one of them draws more often, no other stream changes (common
-random numbers; Law, Simulation Modeling and Analysis, section 11.2).
+Each use of random numbers has a stream of its own (numpy's `SeedSequence` with a spawn key derived from its name).
+Two policies are therefore compared under the same conditions: where one of them draws more numbers from a stream, no
+other stream changes (common random numbers; Law, Simulation Modeling and Analysis, section 11.2).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import numpy as np
 import scipy.stats
 
-# Values that are drawn at once: the cost of scipy is mostly that of the call.
+# Values drawn by one call of scipy, whose cost is mostly per call rather than per value.
 BLOCK_SIZE = 256
 
 Distribution = float | tuple[float, float] | dict[str, float | str]
@@ -23,14 +23,14 @@
 
 
 class InvalidDistributionError(ValueError):
-    """A setting that is not a distribution; the text says what is wrong with it."""
+    """A value that is not a distribution; the message says why."""
 
 
 def scipy_distribution(distribution: Distribution) -> Any:
-    """Return the distribution of scipy, or None for a constant.
+    """Return the frozen distribution of scipy.stats, or None for a constant.
 
     Raises:
-        InvalidDistributionError: It is none of scipy.stats, or its parameters do not fit.
+        InvalidDistributionError: scipy.stats has no such distribution, or the parameters are invalid.
     """
     if isinstance(distribution, int | float):
         return None
@@ -49,7 +49,7 @@
         return created
     low, high = distribution
     if high < low:
-        raise InvalidDistributionError(f"[{low}, {high}] ends before it begins")
+        raise InvalidDistributionError(f"[{low}, {high}]: expected the lower bound first")
     return scipy.stats.uniform(low, high - low) if high > low else None
 
 
@@ -67,7 +67,7 @@
     """Draws values of one distribution from one stream."""
 
     def __init__(self, distribution: Distribution, rng: np.random.Generator) -> None:
-        """Create a sampler that has drawn nothing."""
+        """Create a sampler at the current position of a generator."""
         self._distribution = scipy_distribution(distribution)
         self._rng = rng
         self._constant = 0.0
@@ -90,7 +90,7 @@
     """Draws uniform numbers from one stream, in blocks."""
 
     def __init__(self, rng: np.random.Generator) -> None:
-        """Create a sampler that has drawn nothing."""
+        """Create a sampler at the current position of a generator."""
         self._rng = rng
         self._values: Iterator[float] = iter(())
 
@@ -111,20 +111,20 @@
     """The streams of one seed."""
 
     def __init__(self, seed: int) -> None:
-        """Create the streams of a seed, which is not negative."""
+        """Create the streams of a non-negative seed."""
         self.seed = seed
 
     def generator(self, *name: object) -> np.random.Generator:
-        """Return the stream of a name from its beginning; a second call gives the same numbers again."""
+        """Return a new generator at the beginning of a named stream; each call returns the same sequence."""
         key = tuple(zlib.crc32(str(part).encode()) for part in name)
         return np.random.default_rng(np.random.SeedSequence(self.seed, spawn_key=key))
 
     def sampler(self, distribution: Distribution, *name: object) -> Sampler:
-        """Return a sampler of a distribution on the stream of a name."""
+        """Return a sampler of a distribution on a named stream."""
         return Sampler(distribution, self.generator(*name))
 
     def uniform(self, *name: object) -> UniformStream:
-        """Return uniform numbers on the stream of a name."""
+        """Return a sampler of uniform numbers on a named stream."""
         return UniformStream(self.generator(*name))
 
 
@@ -132,7 +132,7 @@
     """Check all distributions of a table and of the tables in it.
 
     Raises:
-        InvalidDistributionError: One is invalid; the text names its key.
+        InvalidDistributionError: One is invalid; the message names its key.
     """
     for field in msgspec.structs.fields(type(struct)):
         value = getattr(struct, field.name)
@@ -140,8 +140,8 @@
         if isinstance(value, msgspec.Struct):
             validate_distributions(value, key)
         elif isinstance(value, tuple) and value and isinstance(value[0], msgspec.Struct):
-            for n, row in enumerate(value):
-                validate_distributions(row, f"{key}[{n}]")
+            for index, row in enumerate(value):
+                validate_distributions(row, f"{key}[{index}]")
         elif field.type == Distribution:
             try:
                 scipy_distribution(value)
@@ -152,7 +152,7 @@
 def lognormal_distribution(mean: float, cv: Any) -> dict[str, float | str]:
     """Return a lognormal distribution by its mean and coefficient of variation.
 
-    Of a range of the coefficient, the middle counts.
+    Where the coefficient is a range, its midpoint is used.
     """
     mean_cv = sum(cv) / 2.0 if isinstance(cv, tuple) else float(cv)
     sigma = float(np.sqrt(np.log(1.0 + mean_cv**2)))
@@ -160,7 +160,7 @@
 
 
 def apportion(shares: list[float], count: int) -> list[int]:
-    """Return integers in these proportions whose sum is `count`, and which are at least 1 where that is possible."""
+    """Return integers in these proportions with the sum `count`, each at least 1 where that is possible."""
     counts = [max(1, round(share * count)) for share in shares]
     while sum(counts) > count:
         counts[int(np.argmax(counts))] -= 1
