--- a/kestreltrack/testing/emulator/faults.py
+++ b/kestreltrack/testing/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The faults and changes of a simulated day: outages of destinations and senders, replacement of endpoints."""
+"""The faults and changes of a run: outages of destinations and senders, replacement of endpoints."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 from kestreltrack.testing.emulator.service_registry import ServiceRegistry
 from kestreltrack.testing.emulator.simulated_sender import SimulatedSender
 
-# A fault hits destinations whose traffic comes to between these parts of the part that the scenario names: whole
-# destinations rarely add up to it exactly.
-MIN_PART_FACTOR = 0.85
-MAX_PART_FACTOR = 1.15
+# Tolerances for the traffic of the destinations that a fault affects, relative to the part that the scenario asks
+# for: the traffic of whole destinations rarely adds up to that part exactly.
+MIN_TRAFFIC_FACTOR = 0.85
+MAX_TRAFFIC_FACTOR = 1.15
 
-# Time that a draining endpoint stays listed beyond its drain, so that every sender has learned of the drain.
+# How long an endpoint stays listed after its drain, so that every sender learns of the drain before the removal.
 REMOVAL_DELAY_S = 4.0
 
 
 class FaultTarget(Protocol):
-    """The simulation that faults act on; it creates the injector, which therefore knows this interface only."""
+    """The simulation that faults act on.
+
+    It creates the injector, which depends on this interface only, to avoid a circular import.
+    """
 
     scenario: Scenario
     random_streams: RandomStreams
@@ -40,7 +43,7 @@
     processes: list[SimulatedSender | None]
 
     def emit(self, event: FaultChanged) -> None:
-        """Report the begin or the end of a fault."""
+        """Report the beginning or the end of a fault."""
 
     def listed_endpoint(
         self, endpoint: SimulatedEndpoint, lifecycle: EndpointLifecycle = EndpointLifecycle.UP
@@ -56,11 +59,11 @@
 
 @dataclass(slots=True)
 class _FaultCandidate:
-    """Endpoints of one destination that a fault may hit."""
+    """Endpoints of one destination that a fault may affect."""
 
     endpoints: list[SimulatedEndpoint]
     traffic_share: float
-    """Their share of the whole traffic."""
+    """Their share of the total traffic."""
 
 
 class FaultInjector:
@@ -73,22 +76,22 @@
         self._replacement_count = 0
         self._replacements = set[asyncio.Task[None]]()
 
-    async def inject(self, n: int, table: RandomFaultTable) -> None:
-        """Play the `n`th fault of the scenario from its begin to its end."""
-        rng = self.target.random_streams.generator("trouble", n)
-        begins_at_s = Sampler(table.at_s, rng)()
+    async def inject(self, index: int, table: RandomFaultTable) -> None:
+        """Wait for the beginning of fault `index` of the scenario, and return after its end."""
+        rng = self.target.random_streams.generator("trouble", index)
+        starts_at_s = Sampler(table.at_s, rng)()
         duration_s = Sampler(table.for_s, rng)()
         part = Sampler(table.part, rng)()
         magnitude = Sampler(table.size, rng)()
-        await asyncio.sleep(begins_at_s)
+        await asyncio.sleep(starts_at_s)
         if table.kind in ("crash", "roll"):
             await self._crash_senders(table, duration_s, part, magnitude, rng)
         elif table.kind == "registry":
             await self.target.registry_outage(duration_s)
         else:
-            await self._strike_destinations(table, duration_s, part, magnitude, rng)
+            await self._inject_into_destinations(table, duration_s, part, magnitude, rng)
 
-    async def _strike_destinations(
+    async def _inject_into_destinations(
         self,
         table: RandomFaultTable,
         duration_s: float,
@@ -96,11 +99,11 @@
         magnitude: float,
         rng: np.random.Generator,
     ) -> None:
-        every_ms = Sampler(table.every_s, rng)() * 1000.0
+        mean_interval_ms = Sampler(table.every_s, rng)() * 1000.0
         affected = self._choose_destinations(table, part, rng)
         for number, endpoints in affected.items():
             self.target.destinations[number].inject_fault(
-                table.kind, duration_s * 1000.0, magnitude, endpoints, every_ms
+                table.kind, duration_s * 1000.0, magnitude, endpoints, mean_interval_ms
             )
         numbers = ", ".join(map(str, affected))
         uids = tuple(endpoint.uid for endpoints in affected.values() for endpoint in endpoints)
@@ -111,18 +114,18 @@
     def _choose_destinations(
         self, table: RandomFaultTable, part: float, rng: np.random.Generator
     ) -> dict[int, list[SimulatedEndpoint]]:
-        """Draw destinations with about this part of the traffic, and return their endpoints that are hit.
+        """Draw destinations with about this part of the traffic, and return their affected endpoints.
 
-        At least one destination is chosen where any is left: a destination has at most one fault a day.
+        At least one destination is chosen where any is left: a destination has at most one fault in a run.
         """
         candidates = self._draw_candidates(table, rng)
         chosen = dict[int, list[SimulatedEndpoint]]()
         chosen_share = 0.0
         for number, candidate in candidates.items():
-            if chosen_share + candidate.traffic_share <= part * MAX_PART_FACTOR:
+            if chosen_share + candidate.traffic_share <= part * MAX_TRAFFIC_FACTOR:
                 chosen[number] = candidate.endpoints
                 chosen_share += candidate.traffic_share
-            if chosen_share >= part * MIN_PART_FACTOR:
+            if chosen_share >= part * MIN_TRAFFIC_FACTOR:
                 break
         if candidates and not chosen:
             nearest = min(candidates, key=lambda number: abs(candidates[number].traffic_share - part))
@@ -133,7 +136,7 @@
     def _draw_candidates(
         self, table: RandomFaultTable, rng: np.random.Generator
     ) -> dict[int, _FaultCandidate]:
-        """Return the destinations without a fault so far, in random order, limited to one zone or kind if asked."""
+        """Return the destinations without a fault so far, in random order; `by` limits them to one zone or kind."""
         target = self.target
         zone = ""
         kinds = list(target.scenario.kind)
@@ -146,13 +149,13 @@
         candidates = dict[int, _FaultCandidate]()
         for number in rng.permutation(target.traffic.destinations).tolist():
             listed = [e for e in target.destinations[number].endpoints if not e.removed]
-            hit = [endpoint for endpoint in listed if not zone or endpoint.zone == zone]
-            if not hit or number in self._faulted_destinations or target.kinds[number] not in kinds:
+            affected = [endpoint for endpoint in listed if not zone or endpoint.zone == zone]
+            if not affected or number in self._faulted_destinations or target.kinds[number] not in kinds:
                 continue
             if table.whole < 1.0 and not zone and rng.random() >= table.whole:
-                hit = hit[: max(1, len(hit) // 2)]
-            share = target.traffic.rate_of[number] / total_rate * len(hit) / len(listed)
-            candidates[number] = _FaultCandidate(hit, share)
+                affected = affected[: max(1, len(affected) // 2)]
+            share = target.traffic.rate_of[number] / total_rate * len(affected) / len(listed)
+            candidates[number] = _FaultCandidate(affected, share)
         return candidates
 
     async def _crash_senders(
@@ -179,14 +182,14 @@
     async def _restart_in_groups(
         self, senders: list[int], group_size: int, duration_s: float, away_s: float
     ) -> None:
-        """Restart senders group by group, spread over the duration."""
+        """Restart senders group by group, at equal intervals over the duration."""
         groups = [senders[n : n + group_size] for n in range(0, len(senders), group_size)]
         for group in groups:
             await asyncio.gather(*(self.target.crash(sender, away_s) for sender in group))
             await asyncio.sleep(max(0.0, duration_s / len(groups) - away_s))
 
     async def drain_endpoints(self) -> None:
-        """Drain and replace one endpoint after another, until the scenario asks for no more or this is cancelled."""
+        """Drain and replace endpoints at random intervals; return when the drawn interval is 0."""
         directory = self.target.scenario.directory
         rng = self.target.random_streams.generator("drains")
         intervals_s = Sampler(directory.drains_every_s, rng)
@@ -200,7 +203,7 @@
                 task.add_done_callback(self._replacements.discard)
 
     def _choose_endpoint_to_drain(self, rng: np.random.Generator) -> SimulatedEndpoint | None:
-        """Draw an endpoint of a destination that has another one that is up."""
+        """Draw an endpoint of a destination with at least two endpoints that are up."""
         up_endpoints = [
             [endpoint for endpoint in destination.endpoints if endpoint.lifecycle == "up"]
             for destination in self.target.destinations.values()
@@ -219,13 +222,13 @@
         registry.publish(self.target.listed_endpoint(old, EndpointLifecycle.REMOVED))
         old.lifecycle = "removed"
         old.removed = True
-        new = self._create_successor(old)
+        new = self._create_replacement(old)
         old.destination.endpoints.append(new)
         self.target.endpoints[new.uid] = new
         registry.publish(self.target.listed_endpoint(new))
 
-    def _create_successor(self, old: SimulatedEndpoint) -> SimulatedEndpoint:
-        """Return an endpoint that takes the place of another one, under a new identifier."""
+    def _create_replacement(self, old: SimulatedEndpoint) -> SimulatedEndpoint:
+        """Return a replacement for an endpoint, with a new identifier."""
         self._replacement_count += 1
         new = SimulatedEndpoint(
             f"p{old.destination.number}-r{self._replacement_count}",
