--- a/kestreltrack/testing/emulator/deployment.py
+++ b/kestreltrack/testing/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""The destinations of a simulated day and the traffic to them, drawn from a scenario."""
+"""The destinations of a simulation and the traffic to them, drawn from a scenario."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 from kestreltrack.testing.emulator.rate_limit import RateLimit
 from kestreltrack.testing.emulator.scenario import DestinationKindTable, Scenario
 
-# Keeps the capacity of a destination usable as a divisor.
+# Least capacity of a destination; avoids a division by zero.
 MIN_CAPACITY = 1e-6
 
-# Keeps the share of a tenant usable as a divisor.
+# Least share of a tenant; avoids a division by zero.
 MIN_TENANT_SHARE = 1e-9
 
-# Range of the random number that chooses the zone of a destination's first endpoint: far more than there are zones.
+# Range of the random number that selects the zone of a destination's first endpoint; far larger than the number of
+# zones, so that each is about equally probable.
 ZONE_DRAW_RANGE = 1 << 16
 
-# From this value on, the drawn `refused_count` of a kind means that rejected calls count.
-COUNTS_REJECTIONS_FROM = 0.5
+# Value of a kind's `refused_count` from which on rejected calls count against the limit.
+COUNTS_REJECTIONS_THRESHOLD = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class _LimitParameters:
-    """The rate limit of a destination, of which independent endpoints get equal parts."""
+    """The parameters of a destination's rate limit, which independent endpoints split evenly."""
 
     kind: str
     min_rate_per_s: float
@@ -46,9 +47,9 @@
     burst_s: float
     counts_rejections: bool
 
-    def create(self, part: float) -> RateLimit:
-        """Return a limit of its own for a part of the rate."""
-        rate_per_s = max(self.min_rate_per_s, self.rate_per_s * part)
+    def create(self, fraction: float) -> RateLimit:
+        """Return a new limit with a fraction of the rate, but at least the minimum rate."""
+        rate_per_s = max(self.min_rate_per_s, self.rate_per_s * fraction)
         return RateLimit(self.kind, rate_per_s, self.window_ms, self.burst_s, self.counts_rejections)
 
 
@@ -62,7 +63,7 @@
         loop: asyncio.AbstractEventLoop,
         emit: Callable[[Event], None],
     ) -> None:
-        """Draw all of it."""
+        """Draw the destinations and the distribution of the traffic."""
         self._scenario = scenario
         self._random_streams = random_streams
         self._loop = loop
@@ -82,7 +83,7 @@
     def _draw_kinds(self, rng: np.random.Generator) -> dict[int, DestinationKindTable]:
         """Return the kind of each destination; destinations are numbered in the order of their traffic.
 
-        Kinds that lean to the top get low numbers.
+        Kinds with a large `lean` tend to get low numbers, and thereby much traffic.
         """
         scenario = self._scenario
         counts = apportion([kind.share for kind in scenario.kind], scenario.partners)
@@ -120,20 +121,20 @@
         }
 
     def _assign_tenants(self, rates: dict[int, float]) -> dict[int, str]:
-        """Give each destination to one tenant, so that the tenants' traffic comes near to their shares."""
+        """Assign each destination to a tenant, so that the tenants' traffic approximates their shares."""
         tenants = self._scenario.firm
         if not tenants:
             return dict.fromkeys(rates, "")
         total_rate = sum(rates.values())
         assigned_share = {tenant.name: 0.0 for tenant in tenants}
-        found = dict[int, str]()
+        tenant_of = dict[int, str]()
         for number in sorted(rates, key=lambda number: -rates[number]):
             tenant = min(
                 tenants, key=lambda tenant: assigned_share[tenant.name] / max(MIN_TENANT_SHARE, tenant.share)
             )
-            found[number] = tenant.name
+            tenant_of[number] = tenant.name
             assigned_share[tenant.name] += rates[number] / total_rate
-        return found
+        return tenant_of
 
     def mean_work_ms(self, number: int) -> float:
         """Return the mean work (ms) of a message to a destination."""
@@ -191,7 +192,7 @@
             rate_per_s,
             window_ms,
             burst_s,
-            refused_count >= COUNTS_REJECTIONS_FROM,
+            refused_count >= COUNTS_REJECTIONS_THRESHOLD,
         )
 
     def _draw_behavior(
@@ -229,12 +230,12 @@
     def _add_endpoints(
         destination: SimulatedDestination, kind: DestinationKindTable, count: int, rng: np.random.Generator
     ) -> None:
-        """Add endpoints that have the destination's capacity together.
+        """Add endpoints whose total capacity is that of the destination.
 
-        The cores, at least one each, follow from the usual speed; their real speed makes up for the rounding.
+        The number of cores, at least one each, follows from the nominal speed; the actual speed offsets the rounding.
         """
-        usual_speed = Sampler(kind.speed, rng)()
-        total_cores = max(count, round(destination.health.capacity / usual_speed))
+        nominal_speed = Sampler(kind.speed, rng)()
+        total_cores = max(count, round(destination.health.capacity / nominal_speed))
         speed = destination.health.capacity / total_cores
         for n in range(count):
             cores = total_cores // count
@@ -257,7 +258,7 @@
             )
 
     def _assign_zones(self, destination: SimulatedDestination) -> None:
-        """Place the endpoints in the zones in turn, from a random one on."""
+        """Assign the endpoints to the zones in turn, starting with a random zone."""
         zones = self._scenario.fleet.zones
         uniform = self._random_streams.uniform("partner", destination.number, "zone")
         first = uniform.integer_below(ZONE_DRAW_RANGE)
@@ -267,7 +268,7 @@
     def _make_endpoints_independent(
         self, destination: SimulatedDestination, limits: _LimitParameters
     ) -> None:
-        """Give each endpoint a health, a rate limit and a cost of its own."""
+        """Give each endpoint its own health, rate limit and zone cost."""
         fleet = self._scenario.fleet
         zone_costs = dict(zip(fleet.zones, fleet.zone_fees, strict=False))
         for endpoint in destination.endpoints:
