--- a/kestreltrack/testing/emulator/baseline.py
+++ b/kestreltrack/testing/emulator/baseline.py
@@ -1,4 +1,4 @@
-"""What a sender is compared with: a single attempt a message, and a bound by the capacity of the destinations."""
+"""The baselines of a comparison: a policy with one attempt per message, and a bound by the destinations' capacity."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 from kestreltrack.testing.emulator.scenario import Scenario
 from kestreltrack.testing.emulator.scoring import ServiceScore, ServiceScorer
 
-# Time before a message's expiry that is left for its final answer.
+# Time reserved for the final answer before a message expires.
 EXPIRY_MARGIN_MS = 150.0
 
-# Interval of the decisions while messages are queued.
+# Interval of the decisions while messages are queued or the endpoint list is to be polled.
 TICK_MS = 50.0
 
 # Retry-after of a rejection, and interval of polls of the endpoint list.
 RETRY_AFTER_MS = 1000.0
 
-# Step of the bound's clock.
+# Time step of the computation of the capacity bound.
 BOUND_STEP_MS = 50.0
 
-# Parts of the time until the deadline after which the bound gives a message up; the best one counts.
-PATIENCE_SHARES = (0.05, 0.15, 0.3, 0.6, 1.0)
+# Fractions of the time until the deadline after which the capacity bound drops a message; the best one is used.
+PATIENCE_FRACTIONS = (0.05, 0.15, 0.3, 0.6, 1.0)
 
-# Keeps the work of a message usable as a divisor.
+# Least work of a message; avoids a division by zero.
 MIN_WORK_MS = 1e-9
 
 
 class SimulationView(Protocol):
-    """What the bound reads of a simulation that has run."""
+    """The part of a completed simulation that the capacity bound reads."""
 
     destinations: dict[int, SimulatedDestination]
 
@@ -58,10 +58,10 @@
 
 
 class SingleAttemptPolicy:
-    """One attempt for each message, in order of arrival, at its destination's endpoints in turn.
+    """A policy that makes one attempt for each message, in order of arrival, at its destination's endpoints in turn.
 
-    It heeds no limit, retry-after or health.  A message that cannot have been executed is rejected; any other one
-    without success fails.
+    It ignores rate limits, retry-after and health.  A message that cannot have been executed is rejected; any
+    other one without success fails.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -112,7 +112,7 @@
                 self.up_endpoints[entry.dest][entry.endpoint] = None
 
     def decide(self, now: float) -> Sequence[Action]:
-        """Return the actions on the events so far."""
+        """Return the actions that follow from the events so far."""
         if now >= self.poll_at:
             self.poll_at = now + RETRY_AFTER_MS
             self.actions.append(PollEndpointList())
@@ -149,7 +149,7 @@
 
 
 class _Delivery(NamedTuple):
-    """A message that is served, with its times in milliseconds."""
+    """A delivered message, with its times in milliseconds."""
 
     request: MessageRequested
     requested_at: float
@@ -157,12 +157,12 @@
 
 
 class CapacityBound:
-    """A listener that computes the score that the destinations' capacity would allow to an all-knowing sender.
+    """Computes from events the score that the destinations' capacity allows a sender with perfect information.
 
     There is no network delay.  Each destination serves messages in order of arrival, at the lesser of its rate limit
     and its capacity, in full batches.  During an outage it serves nothing, and afterwards needs no warm-up.  Messages
-    that have waited too long are dropped, after whichever part of their time gives the best score.  Slowness,
-    failures and pauses are ignored.  Few senders could do better.
+    that have waited too long are dropped, after the fraction of their time that gives the best score.  Slowness,
+    failures and pauses are ignored.  This is not a strict upper bound, but few senders could do better.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -181,8 +181,8 @@
                 if event.active:
                     outages.append((now, float("inf")))
                 elif outages:
-                    began_at, _ = outages[-1]
-                    outages[-1] = (began_at, now)
+                    started_at, _ = outages[-1]
+                    outages[-1] = (started_at, now)
 
     def score(self, simulation: SimulationView) -> ServiceScore:
         """Return the score, which has no deductions."""
@@ -191,7 +191,7 @@
             for requested_at, request in requests:
                 scorer(requested_at, request)
             candidates = [
-                self._deliveries(simulation, dest, requests, patience) for patience in PATIENCE_SHARES
+                self._deliveries(simulation, dest, requests, patience) for patience in PATIENCE_FRACTIONS
             ]
             best = max(candidates, key=lambda deliveries: self._utility(scorer, deliveries))
             for delivery in best:
@@ -215,7 +215,7 @@
         requests: list[tuple[float, MessageRequested]],
         patience: float,
     ) -> list[_Delivery]:
-        """Return the messages that a destination serves within a part of their time until the deadline."""
+        """Return the messages served within the fraction `patience` of their time until the deadline."""
         destination = simulation.destinations[dest]
         batch_size = destination.max_batch_size
         work_ms = simulation.mean_work_ms(dest)
@@ -240,20 +240,20 @@
 
     @staticmethod
     def _burst(destination: SimulatedDestination) -> float:
-        """Return the messages that a destination takes at once after it has been idle."""
+        """Return the number of messages that a destination accepts at once after it has been idle."""
         limits = {id(endpoint.rate_limit): endpoint.rate_limit for endpoint in destination.endpoints}
         calls = sum(1.0 if limit.kind == "none" else limit.capacity() for limit in limits.values())
         return calls * destination.max_batch_size
 
     def _rate_per_ms(self, destination: SimulatedDestination, now: float, work_ms: float) -> float:
-        """Return the messages of this work that a destination serves in a millisecond at a time."""
+        """Return the messages per millisecond that a destination serves at a time (ms), with this work each."""
         limited_rate = dict[int, float]()
         capacity_rate = dict[int, float]()
         for endpoint in destination.endpoints:
             if endpoint.removed:
                 continue
             limit = endpoint.rate_limit
-            up_cores = 0 if self._is_out(endpoint.uid, now) else endpoint.cores
+            up_cores = 0 if self._is_in_outage(endpoint.uid, now) else endpoint.cores
             capacity_rate[id(limit)] = capacity_rate.get(id(limit), 0.0) + up_cores * endpoint.speed / max(
                 MIN_WORK_MS, work_ms
             )
@@ -263,5 +263,5 @@
                 limited_rate[id(limit)] = limit.rate_per_s * destination.max_batch_size / 1000.0
         return sum(min(limited_rate[key], capacity_rate[key]) for key in limited_rate)
 
-    def _is_out(self, uid: str, now: float) -> bool:
-        return any(began_at <= now < ends_at for began_at, ends_at in self._outages[uid])
+    def _is_in_outage(self, uid: str, now: float) -> bool:
+        return any(started_at <= now < ends_at for started_at, ends_at in self._outages[uid])
