--- a/kestreltrack/testing/emulator/__init__.py
+++ b/kestreltrack/testing/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Simulations of whole deployments in virtual time, around the sender's own code."""
+"""Simulations of whole deployments in virtual time, which run the sender's own code."""
--- a/kestreltrack/testing/emulator/calls.py
+++ b/kestreltrack/testing/emulator/calls.py
@@ -24,14 +24,14 @@
     """The reply to a call."""
 
     status: str
-    """`ok`, `error`, `full` for a rejection, or `reset` where the connection ends without an answer."""
+    """`ok`, `error`, `full` for a rejection, or `reset` where the connection is closed without a reply."""
     retry_after_ms: float = 0.0
     quota_left: float | None = None
     """The fraction of the rate limit that is left; None where the endpoint does not report it."""
     rate_limit: float | None = None
     """Calls a second; None where the endpoint does not report it."""
     duplicate: bool = False
-    """Every message of the call had been executed before."""
+    """Every message of the call had already been executed."""
 
 
 @dataclass(slots=True, eq=False)
@@ -45,6 +45,6 @@
     settled: bool = False
     """The caller no longer waits for a reply: it has one, or has given up."""
     lost: bool = False
-    """The process that executed the call has ended."""
+    """The endpoint's process has ended before it completed the call."""
     paused_ms: float = 0.0
-    """The total pause of the endpoint at the time up to which pauses are included in the job's end."""
+    """The part of the endpoint's total pause time that the job's end already accounts for."""
--- a/kestreltrack/testing/emulator/health.py
+++ b/kestreltrack/testing/emulator/health.py
@@ -8,10 +8,10 @@
 
 from kestreltrack.testing.emulator.calls import Job
 
-# Faults after which an endpoint starts cold.
+# Faults after which an endpoint has to warm up.
 OUTAGE_FAULTS = ("hangs", "shuts", "unreachable", "refuses", "vanishes")
 
-# Share of failed calls from which the fault `fails` counts as an outage.
+# Fraction of failed calls from which on the fault `fails` counts as an outage.
 OUTAGE_FAILURE_SHARE = 0.5
 
 # Faults under which calls on established connections are never answered.
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ActiveFault:
-    """A fault of endpoints, and the time (ms) when it ends."""
+    """A fault of endpoints, and its end (ms)."""
 
     kind: str
     ends_at: float
@@ -28,7 +28,7 @@
 
 
 class ArrivedWork(NamedTuple):
-    """Work that one call has brought to an endpoint that is warming up."""
+    """The work of one call that arrived at an endpoint while it was warming up."""
 
     arrived_at: float
     work_ms: float
@@ -37,24 +37,24 @@
 
 @dataclass(slots=True)
 class WarmUp:
-    """A warm-up after an outage: the capacity grows linearly from the initial share to all of it."""
+    """A warm-up after an outage: the capacity grows linearly from the initial share to 1."""
 
     started_at: float
     initial_share: float
     duration_ms: float
     recent_work: deque[ArrivedWork] = field(default_factory=deque)
-    """Work that has arrived within the overload window."""
+    """The calls of the overload window, oldest first."""
 
 
 @dataclass(slots=True, eq=False)
 class Health:
     """The state of endpoints that fail and recover together.
 
-    These are all endpoints of a destination, one independent endpoint, or those that a partial outage has hit.
+    These are all endpoints of a destination, one independent endpoint, or those that a partial fault affects.
     """
 
     capacity: float = 1.0
-    """Milliseconds of work done in a millisecond when warm."""
+    """Work (ms) completed per millisecond when warm."""
     fault: ActiveFault | None = None
     warm_up: WarmUp | None = None
     down_until: float = float("-inf")
@@ -79,11 +79,11 @@
         return self.warm_up.initial_share + (1.0 - self.warm_up.initial_share) * progress
 
     def speed_factor(self, now: float) -> float:
-        """Return the speed relative to the usual one."""
+        """Return the current speed relative to that of a warm endpoint without faults."""
         slowdown = self.fault.magnitude if self.fault and self.current_fault(now) == "slow" else 1.0
         return self.warm_fraction(now) / slowdown
 
     def pause(self, now: float, duration_ms: float) -> None:
-        """Pause the execution of all calls; each ends later by the duration."""
+        """Pause the execution of all calls, which delays the end of each by the duration."""
         self.paused_until = now + duration_ms
         self.paused_ms += duration_ms
--- a/kestreltrack/testing/emulator/rate_limit.py
+++ b/kestreltrack/testing/emulator/rate_limit.py
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True)
 class RateLimit:
-    """The calls that a destination accepts from all senders together.
+    """The limit on the calls that a destination accepts from all senders together.
 
     `kind` is `window` (a number of calls in each window; windows are aligned to the clock), `rate` (a token bucket)
-    or `none`.  A rate of 0 is no limit.
+    or `none`.  A rate of 0 means no limit.
     """
 
     kind: str
@@ -19,7 +19,7 @@
     burst_s: float = 0.5
     """Capacity of the token bucket, in seconds of its rate."""
     counts_rejections: bool = False
-    """Rejected calls use up the limit too."""
+    """Rejected calls count against the limit too."""
     _window_index: int = -1
     _count: int = 0
     _tokens: float = -1.0
@@ -34,17 +34,17 @@
         return self._try_take_token(now)
 
     def capacity(self) -> float:
-        """Return the calls that one window admits, or the tokens of a full bucket."""
+        """Return the number of calls that one window admits, or of tokens in a full bucket."""
         if self.kind == "window":
             return max(1.0, self.rate_per_s * self.window_ms / 1000.0)
         return max(1.0, self.rate_per_s * self.burst_s)
 
     def _try_count(self, now: float) -> bool:
         self._advance_window(now)
-        within = self._count < self.capacity()
-        if within or self.counts_rejections:
+        is_within_limit = self._count < self.capacity()
+        if is_within_limit or self.counts_rejections:
             self._count += 1
-        return within
+        return is_within_limit
 
     def _try_take_token(self, now: float) -> bool:
         self._refill(now)
@@ -80,7 +80,7 @@
         return max(0.0, self._tokens / self.capacity())
 
     def retry_after_ms(self, now: float) -> float:
-        """Return the time until a call is accepted again, if no other sender makes one."""
+        """Return the time until the next call is accepted, provided that no other call arrives first."""
         if self.kind == "window":
             return self.window_ms - now % self.window_ms
         self._refill(now)
