--- a/kestreltrack/testing/emulator/clients.py
+++ b/kestreltrack/testing/emulator/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a simulated day, which submit messages and retry, and the ingress that spreads them over senders."""
+"""Simulated clients, which submit messages and retry, and the ingress that distributes messages over senders."""
 
 from __future__ import annotations
 
@@ -19,29 +19,36 @@
 from kestreltrack.testing.emulator.scenario import MessageClassTable, Scenario
 from kestreltrack.testing.emulator.simulated_sender import SimulatedSender
 
-# Period of the slow wave of the load over the day.
+# Period of the sinusoidal variation of the load.
 LOAD_WAVE_PERIOD_S = 20.0
 
-# Delay until the ingress looks again for a live sender where it knows of none.
+# Load of the shape `rising`, as a factor of the mean load: its start, and its increase over the length of the run.
+RISING_LOAD_START = 0.4
+RISING_LOAD_INCREASE = 1.2
+
+# Interval at which a client asks again for a live sender while the ingress knows none.
 NO_SENDER_RETRY_MS = 20.0
 
-# A message with less time left than this is not submitted any more.
+# A message with less time left than this is not submitted.
 MIN_TIME_LEFT_MS = 1.0
 
-# Keep rates and shares that a scenario sets to 0 usable as divisors.
+# Lower bounds that keep a rate of 0 in a scenario usable as a divisor.
 MIN_RATE_PER_S = 1e-6
 MIN_TOTAL_RATE_PER_S = 1e-9
 
-# The share of its quota that a tenant uses counts as this at least.
+# Lower bound of the share of its quota that a tenant uses, which is a divisor.
 MIN_QUOTA_USAGE = 0.05
 
-# Spread of the waits for a retry-after, as a fraction added at most.
+# A backoff is multiplied by this plus a uniform number below 1, which leaves its mean unchanged.
+MIN_BACKOFF_FACTOR = 0.5
+
+# Maximum jitter that is added to a retry-after, as a fraction of it.
 RETRY_AFTER_JITTER = 0.2
 
-# A burst has this many messages at least.
+# Minimum number of messages in a burst.
 MIN_BURST_SIZE = 2
 
-# Depth of the bucket of a tenant's quota, in milliseconds of its rate.
+# Depth of the token bucket of a tenant's quota, in milliseconds of its rate.
 QUOTA_BURST_MS = 1000.0
 
 
@@ -66,11 +73,11 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """How the messages are distributed over destinations, and which tenant a destination belongs to."""
+    """The distribution of messages over destinations, and the tenant of each destination."""
 
     destinations: list[int]
     cumulative_shares: dict[str, list[float]]
-    """By message class: the cumulative shares of the destinations, in their order."""
+    """By message class: the cumulative shares of the destinations, in the order of `destinations`."""
     tenant_of: dict[int, str]
     rate_of: dict[int, float]
     """Messages a second at full load, by destination."""
@@ -101,22 +108,22 @@
 
 
 class Ingress:
-    """Spreads messages over the senders; it detects the end of a sender with a delay."""
+    """Distributes messages over the senders at random; it detects a failed sender only after a delay."""
 
     def __init__(self, processes: list[SimulatedSender | None], uniform: UniformStream) -> None:
-        """Create an ingress that takes all senders for alive."""
+        """Create an ingress that considers all senders alive."""
         self.processes = processes
         self._uniform = uniform
         self.known_dead = set[int]()
 
     def pick_sender(self) -> int:
-        """Return a sender that is taken for alive, or -1."""
+        """Return a random sender that is considered alive, or -1 where there is none."""
         alive = [n for n in range(len(self.processes)) if n not in self.known_dead]
         return alive[self._uniform.integer_below(len(alive))] if alive else -1
 
 
 class Clients:
-    """All clients together: arrivals in an open loop, and the retries of each message."""
+    """All clients: an open-loop generator of arrivals, and the retries of each message."""
 
     def __init__(
         self,
@@ -128,7 +135,7 @@
         emit: Callable[[Event], None],
         delay_ms: Sampler,
     ) -> None:
-        """Draw what is constant over the day."""
+        """Draw the random values that stay constant during a run."""
         self._scenario = scenario
         self._traffic = traffic
         self._ingress = ingress
@@ -148,10 +155,10 @@
         self._choice_uniform = streams.uniform("arrivals", "who")
         self._burst_uniform = streams.uniform("arrivals", "clump")
         self._burst_duration_s = streams.sampler(load.clump_s, "arrivals", "clump", "size")
-        day = streams.generator("day")
-        self.load_level = Sampler(load.level, day)()
-        self._wave_amplitude = Sampler(load.swing, day)()
-        self._wave_phase = float(day.random())
+        rng = streams.generator("day")
+        self.load_level = Sampler(load.level, rng)()
+        self._wave_amplitude = Sampler(load.swing, rng)()
+        self._wave_phase = float(rng.random())
 
     def _draw_behavior(self, streams: RandomStreams) -> None:
         clients = self._scenario.clients
@@ -175,33 +182,33 @@
     # Arrivals --------------------------------------------------------------------------------------
 
     def rate(self, at_s: float) -> float:
-        """Return the messages a second at a time of the day."""
+        """Return the arrival rate, in messages a second, at a time since the start of the run."""
         load = self._scenario.load
         if load.shape == "steady":
             factor = 1.0
         elif load.shape == "rising":
-            factor = 0.4 + 1.2 * (at_s / self._scenario.day.length_s)
+            factor = RISING_LOAD_START + RISING_LOAD_INCREASE * (at_s / self._scenario.day.length_s)
         else:
             angle = 2.0 * math.pi * (at_s / LOAD_WAVE_PERIOD_S + self._wave_phase)
             factor = 1.0 + self._wave_amplitude * math.sin(angle)
         return load.full * self.load_level * factor
 
     async def generate_arrivals(self) -> None:
-        """Create the requests of the day, until its end."""
+        """Generate requests and bursts, at exponentially distributed intervals, for the length of the run."""
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
-        while (elapsed_s := loop.time() - began_at) < self._scenario.day.length_s:
+        started_at = loop.time()
+        while (elapsed_s := loop.time() - started_at) < self._scenario.day.length_s:
             rate = max(MIN_RATE_PER_S, self.rate(elapsed_s))
             is_burst = self._burst_uniform() < self._burst_probability()
-            gap = -math.log(1.0 - self._gap_uniform())
-            await asyncio.sleep(gap / (rate * self._arrivals_per_message()))
+            unit_gap = -math.log(1.0 - self._gap_uniform())
+            await asyncio.sleep(unit_gap / (rate * self._arrivals_per_message()))
             if is_burst:
                 self._create_burst()
             else:
                 self._create_request(*self._draw_class_and_destination())
 
     def _create_burst(self) -> None:
-        """Create the messages that one destination gets in the duration of a burst, all at once."""
+        """Create at once all messages that one destination gets, on average, in the duration of a burst."""
         dest = self._draw_class_and_destination()[1]
         size = max(MIN_BURST_SIZE, round(self._traffic.rate_of[dest] * self._burst_duration_s()))
         for _ in range(size):
@@ -215,17 +222,17 @@
         return max(float(MIN_BURST_SIZE), mean_s * sum_of_squares / max(MIN_TOTAL_RATE_PER_S, sum(rates)))
 
     def _burst_probability(self) -> float:
-        """Return the probability that an arrival is a burst, by the share of messages that come in bursts."""
+        """Return the probability that an arrival is a burst, from the share of messages that belong to bursts."""
         share = self._scenario.load.clumps
         return share / (share + (1.0 - share) * self._mean_burst_size()) if share else 0.0
 
     def _arrivals_per_message(self) -> float:
-        """Return the mean number of arrivals for each message, which is below 1 where some are bursts."""
+        """Return the mean number of arrivals per message, which is below 1 where some arrivals are bursts."""
         probability = self._burst_probability()
         return 1.0 / (1.0 - probability + probability * self._mean_burst_size())
 
     def _draw_class_and_destination(self, dest: int | None = None) -> tuple[MessageClassTable, int]:
-        """Draw a message class and a destination; where that is given, only a class that it gets."""
+        """Draw a message class and a destination, or for a given destination a class that is sent to it."""
         cls = self._draw_class()
         if dest is None:
             return cls, self._traffic.pick_destination(cls.name, self._choice_uniform())
@@ -247,7 +254,7 @@
         now = self._now()
         tenant = self._traffic.tenant_of[dest]
         self.request_count += 1
-        within_quota = self._is_within_quota(tenant, now)
+        within_quota = self._acquire_quota(tenant, now)
         request = ClientRequest(
             id=f"m{self.request_count:06d}",
             cls=cls,
@@ -263,7 +270,7 @@
         self._emit(MessageRequested(request.id, dest, cls.name, tenant, within_quota, request.deadline))
         self._start(self._submit_with_retries(request))
 
-    def _is_within_quota(self, tenant: str, now: float) -> bool:
+    def _acquire_quota(self, tenant: str, now: float) -> bool:
         bucket = self._quota_buckets.get(tenant)
         if bucket is None:
             return True
@@ -277,7 +284,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _submit_with_retries(self, request: ClientRequest) -> None:
-        """Submit a message until a sender accepts it, the client gives up, or its deadline is near."""
+        """Submit a message until a sender accepts it, the client gives up, or less than MIN_TIME_LEFT_MS is left."""
         while not request.finished and self._now() < request.deadline - MIN_TIME_LEFT_MS:
             sender = self._ingress.pick_sender()
             if sender < 0:
@@ -298,7 +305,7 @@
                 return
 
     async def _submit(self, request: ClientRequest, sender: int) -> SubmitResult | None:
-        """Submit a message once; None where the sender has ended, or ends before it answers."""
+        """Submit a message once; return None where the sender is down or ends before it answers."""
         await asyncio.sleep(self._delay_ms() / 1000.0)
         process = self._ingress.processes[sender]
         if process is None:
@@ -318,12 +325,12 @@
         return await process.submit(message)
 
     async def _back_off(self, request: ClientRequest, retry_after_ms: float) -> bool:
-        """Wait before a retry, and return True; return False where the client has no retry left."""
+        """Wait before a retry; return False, without a wait, where the client has no retry left."""
         if request.retries_left <= 0:
             return False
         request.retries_left -= 1
         clients = self._scenario.clients
-        wait_ms = request.backoff_ms * (0.5 + self._uniform())
+        wait_ms = request.backoff_ms * (MIN_BACKOFF_FACTOR + self._uniform())
         if request.honors_retry_after and retry_after_ms > 0:
             jitter = 1.0 + RETRY_AFTER_JITTER * self._uniform()
             wait_ms = min(retry_after_ms, clients.most_wait_ms) * jitter
@@ -350,19 +357,20 @@
 
 
 class TokenBucket:
-    """The quota of a tenant: tokens that refill at a rate."""
+    """The quota of a tenant, as a token bucket."""
 
     def __init__(self, rate_per_ms: float, burst_ms: float) -> None:
-        """Create a full bucket; its depth is `burst_ms` of the rate, but at least one token."""
+        """Create a full bucket that holds `burst_ms` of the rate, but at least one token."""
         self._rate_per_ms = rate_per_ms
         self._capacity = max(1.0, rate_per_ms * burst_ms)
         self._tokens = self._capacity
         self._refilled_at = 0.0
 
     def try_acquire(self, now: float, cost: float = 1.0) -> bool:
-        """Return whether one more message lies within the quota, and count it.
+        """Take the tokens for one message; return False where the quota is exhausted.
 
-        `cost` is below 1 for a tenant that requests more than its quota, and at most 1 is taken.
+        `cost` is the number of tokens, limited to the range 0 to 1.  It is below 1 for a tenant that requests more
+        than its quota.
         """
         self._tokens = min(self._capacity, self._tokens + (now - self._refilled_at) * self._rate_per_ms)
         self._refilled_at = now
