--- a/kestreltrack/testing/emulator/destination.py
+++ b/kestreltrack/testing/emulator/destination.py
@@ -20,32 +20,35 @@
 from kestreltrack.testing.emulator.random_streams import UniformStream
 from kestreltrack.testing.emulator.rate_limit import RateLimit
 
-# Time that a rejection takes: it needs no work.
+# Duration of a rejection, which needs no core.
 REJECTION_MS = 1.0
 
 # Time after which a call fails under the fault `fails`.
 FAILURE_MS = 5.0
 
-# Calls of average work that an endpoint that is warming up bears beyond its overload limit: chance alone may bring a
-# few calls together, and these overload nobody.
+# Calls of average work that a warming endpoint bears beyond its overload limit, so that a few calls that coincide
+# by chance do not overload it.
 OVERLOAD_SLACK_CALLS = 3.0
 
-# Time that a duplicate takes: it is recognized and dropped.
+# Duration of a duplicate, which is recognized and dropped.
 DUPLICATE_MS = 5.0
 
-# Share of failed calls that were executed all the same.
+# Fraction of failed calls that the endpoint has executed nevertheless.
 EXECUTED_FAILURE_SHARE = 0.5
 
-# Executions that are remembered before old ones are dropped, which bounds the memory of a long run.
+# The interval between pauses is multiplied by this plus a uniform number below 1, which leaves its mean unchanged.
+MIN_PAUSE_INTERVAL_FACTOR = 0.5
+
+# Number of remembered executions above which expired ones are dropped, to bound the memory of a long run.
 MAX_REMEMBERED_EXECUTIONS = 20_000
 
 
 def _ignore_abandonment() -> None:
-    """Do nothing: the endpoint holds nothing of the call."""
+    """Do nothing: the endpoint has kept no state of the call."""
 
 
 class SimulatedEndpoint:
-    """One endpoint of a destination: cores, a queue before them, and a limit on connections."""
+    """One endpoint of a destination, with its cores, a bounded queue and a connection limit."""
 
     def __init__(
         self,
@@ -58,7 +61,7 @@
     ) -> None:
         """Create an idle endpoint.
 
-        `speed` is the milliseconds of work that a core does in a millisecond; 0 for `max_connections` is no limit.
+        `speed` is the work, in milliseconds, that a core does in a millisecond; a `max_connections` of 0 is no limit.
         """
         self.uid = uid
         self.destination = destination
@@ -76,14 +79,14 @@
         self.lifecycle = "up"
         """The state in the service registry."""
         self.removed = False
-        """It has been replaced, and accepts no connection."""
+        """The endpoint has been replaced, and accepts no connection."""
 
     def current_fault(self) -> str:
         """Return the kind of the active fault, or an empty string."""
         return self.health.current_fault(self.destination.now())
 
     def is_unresponsive(self) -> bool:
-        """Return whether a connection attempt gets no answer at all."""
+        """Return whether a connection attempt gets no answer, not even a refusal."""
         return self.current_fault() == "vanishes"
 
     def connect(self) -> bool:
@@ -114,7 +117,7 @@
         if self.removed or fault in SILENT_FAULTS:
             return _ignore_abandonment
         if fault == "refuses":
-            # The call came on an established connection; a new one is refused.
+            # The call uses an established connection, which is reset; a new connection is refused.
             self.send_reply(job, Reply("reset"))
             return _ignore_abandonment
         self.record_load(job)
@@ -138,7 +141,7 @@
         )
 
     def _reply_without_work(self, job: Job, fault: str) -> bool:
-        """Reject or fail a call that needs no core; return whether it was such a call."""
+        """Answer a call that is rejected or fails before it needs a core; return whether it was one."""
         now = self.destination.now()
         active_fault = self.health.fault
         if fault == "shuts":
@@ -196,7 +199,7 @@
         return Reply("error" if failed else "ok", duplicate=all(duplicates))
 
     def abort_all(self, reset: bool) -> None:
-        """Lose all calls: their connections are reset, or the callers get no reply."""
+        """Drop all calls; their connections are reset, or else the callers get no reply."""
         for job in (*self.running, *self.queued):
             job.lost = True
             if reset:
@@ -208,7 +211,7 @@
     # Overload while warming up ---------------------------------------------------------------------
 
     def record_load(self, job: Job) -> None:
-        """Count the work of a call, also of one that is rejected; too much of it ends a warm-up by an outage."""
+        """Count the work of a call, rejected or not; during a warm-up, too much work causes an outage."""
         health = self.health
         destination = self.destination
         now = destination.now()
@@ -223,17 +226,17 @@
             recent_work.popleft()
         total_ms = sum(arrived.work_ms for arrived in recent_work)
         slack_ms = OVERLOAD_SLACK_CALLS * total_ms / len(recent_work)
-        bearable_ms = (
+        overload_limit_ms = (
             destination.overload_factor
             * health.capacity
             * health.warm_fraction(now)
             * destination.overload_window_ms
         )
-        if total_ms > bearable_ms + slack_ms:
+        if total_ms > overload_limit_ms + slack_ms:
             self._collapse(warm_up)
 
     def _collapse(self, warm_up: WarmUp) -> None:
-        """Begin the outage that overload causes, and report how much work each sender has sent."""
+        """Start the outage that overload causes, and report how much work each sender has sent."""
         destination = self.destination
         health = self.health
         work_by_sender = dict[int, float]()
@@ -264,7 +267,7 @@
         self.destination.loop.call_later((delay_ms + pause_left_ms) / 1000.0, self.send_reply, job, reply)
 
     def send_reply(self, job: Job, reply: Reply) -> None:
-        """Send a reply to a caller that still waits, with a load report where the destination gives one."""
+        """Send a reply to a caller that still waits for it, with a load report where the destination sends these."""
         if job.settled:
             return
         job.settled = True
@@ -291,7 +294,8 @@
     ) -> None:
         """Create a destination without endpoints.
 
-        While it warms up, work of more than `overload_factor` times its capacity within the window overloads it.
+        During a warm-up, an endpoint is overloaded by work of more than `overload_factor` times its current capacity
+        within `overload_window_ms`.
         """
         self.number = number
         self.kind = kind
@@ -302,16 +306,16 @@
         self.overload_window_ms = overload_window_ms
         self.endpoints = list[SimulatedEndpoint]()
         self.health = Health()
-        """Rate limit and health are those of all endpoints; independent endpoints have their own."""
+        """Endpoints share this health and the rate limit, except independent ones, which have their own."""
         self.error_rate = 0.0
         self.retry_after_probability = 0.0
         self.extra_retry_after_ms = 0.0
         self.max_batch_size = 1
         self.batch_item_cost = 0.0
-        """Work of each further message of a call, relative to that of a call of one message."""
+        """Work of each message of a call after the first, relative to the work of a call of one message."""
         self.load_reports = True
         self.typical_work_ms = 0.0
-        """The work that a call counts for overload; 0 for the call's own work."""
+        """The work of a message as counted for overload; 0 to count the work of the call itself."""
         self.cancels_queued = True
         self.deduplication_window_ms = 25_000.0
         self.overload_outage_ms = 8000.0
@@ -330,35 +334,35 @@
     # Faults ----------------------------------------------------------------------------------------
 
     def split_health(self, affected: list[SimulatedEndpoint]) -> list[Health]:
-        """Return the health of the endpoints that a fault hits.
+        """Return the health objects of the endpoints that a fault affects.
 
-        Where a fault hits only some of the endpoints that share a health, these get one of their own for good.
+        Where it affects only some of the endpoints that share one, these permanently get a separate one.
         """
-        found = list[Health]()
+        affected_health = list[Health]()
         for health in dict.fromkeys(endpoint.health for endpoint in affected):
             sharing = [
                 endpoint for endpoint in self.endpoints if endpoint.health is health and not endpoint.removed
             ]
-            hit = [endpoint for endpoint in affected if endpoint.health is health]
-            if len(hit) < len(sharing):
-                found.append(self._separate_health(health, hit, sharing))
+            separated = [endpoint for endpoint in affected if endpoint.health is health]
+            if len(separated) < len(sharing):
+                affected_health.append(self._separate_health(health, separated, sharing))
             else:
-                found.append(health)
-        return found
+                affected_health.append(health)
+        return affected_health
 
     @staticmethod
     def _separate_health(
-        shared: Health, hit: list[SimulatedEndpoint], sharing: list[SimulatedEndpoint]
+        shared: Health, separated: list[SimulatedEndpoint], sharing: list[SimulatedEndpoint]
     ) -> Health:
-        """Give some endpoints a health of their own, with their part of the capacity by cores."""
+        """Give some endpoints a separate health, with a part of the capacity in proportion to their cores."""
         capacity = (
             shared.capacity
-            * sum(endpoint.cores for endpoint in hit)
+            * sum(endpoint.cores for endpoint in separated)
             / sum(endpoint.cores for endpoint in sharing)
         )
         shared.capacity -= capacity
         separate = Health(capacity)
-        for endpoint in hit:
+        for endpoint in separated:
             endpoint.health = separate
         return separate
 
@@ -370,12 +374,14 @@
         affected: list[SimulatedEndpoint] | None = None,
         every_ms: float = 0.0,
     ) -> None:
-        """Start a fault of some endpoints, or of all; after an outage they start cold.
+        """Start a fault on some endpoints, or on all; after an outage they have to warm up.
 
-        The fault `pauses` halts them for `magnitude` milliseconds about every `every_ms`.
+        The fault `pauses` stops them for `magnitude` milliseconds, at random intervals of about `every_ms`.
         """
         ends_at = self.now() + duration_ms
-        for health in self.split_health([e for e in affected or self.endpoints if not e.removed]):
+        for health in self.split_health(
+            [endpoint for endpoint in affected or self.endpoints if not endpoint.removed]
+        ):
             if kind == "pauses":
                 self._pause(health, ends_at, magnitude, every_ms)
                 continue
@@ -393,12 +399,12 @@
         if self.now() >= ends_at:
             return
         health.pause(self.now(), duration_ms)
-        next_pause_s = (duration_ms + every_ms * (0.5 + self.uniform())) / 1000.0
+        next_pause_s = (duration_ms + every_ms * (MIN_PAUSE_INTERVAL_FACTOR + self.uniform())) / 1000.0
         self.loop.call_later(next_pause_s, self._pause, health, ends_at, duration_ms, every_ms)
 
     def _end_fault(self, health: Health, kind: str, magnitude: float) -> None:
         health.fault = None
-        # An endpoint with occasional errors stays warm; one that failed most of its calls has to warm up.
+        # Occasional errors leave an endpoint warm; one that has failed most of its calls has to warm up.
         if kind in OUTAGE_FAULTS or (kind == "fails" and magnitude >= OUTAGE_FAILURE_SHARE):
             # Calls that hung are never answered.
             health.hung_calls.clear()
@@ -419,7 +425,7 @@
         )
 
     def execute(self, request: Request, zone: str, duplicate: bool) -> None:
-        """Execute a message, and remember when; a duplicate is reported only."""
+        """Execute a message, and record when; a duplicate is only reported."""
         if not duplicate:
             now = self.now()
             self._executed_at[self._deduplication_key(request, zone)] = now
