--- a/kestreltrack/testing/emulator/discovery.py
+++ b/kestreltrack/testing/emulator/discovery.py
@@ -1,8 +1,8 @@
-"""A discovery service that serves calls one after another, and followers of its endpoint list, in simulated time.
+"""A simulated discovery service, which serves calls one at a time, and followers of its endpoint list.
 
 A follower is the part of a sender that follows the endpoint list: `Policy`, `Dispatcher`, `Core.follow_source` and
-`HttpEndpointSource`.  Only the connection and the parts that carry messages are replaced.  Runs on the loop of
-`virtual_time` and on any other loop.
+`HttpEndpointSource`.  Only the connection and the components that deliver messages are replaced.  Both run on the
+virtual-time loop and on any other event loop.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from kestreltrack.sender.dispatcher import Dispatcher
 from kestreltrack.telemetry import Telemetry
 
-# A call that comes within this time of the last answer continues a watch, and costs the service nothing.
+# A call that arrives within this time after the last answer continues a watch, and takes no service time.
 WATCH_RENEWAL_S = 0.2
 
-# A call that would have to wait longer than this for its turn is answered 503 after it.
+# A call that would have to queue for longer than this gets a 503 after this time.
 QUEUE_TIMEOUT_S = 2.0
 
-# Delay of the network in each direction.
+# Network delay in each direction.
 ONE_WAY_DELAY_S = 0.0005
 
-# The end of a long poll is reached within this, whatever the rounding of the loop's clock.
+# Tolerance at the end of a long poll for rounding errors of the loop's clock.
 CLOCK_TOLERANCE_S = 1e-9
 
 ENDPOINT_ROW = {"uid": "n1", "endpoint": "127.0.0.1:1", "pod_group": 1, "model": "plain", "state": "up"}
@@ -45,7 +45,7 @@
         """Drop the line."""
 
 
-async def _never() -> NoReturn:
+async def _wait_forever() -> NoReturn:
     await asyncio.Event().wait()
     raise AssertionError("never set")
 
@@ -60,21 +60,21 @@
 
 
 class DiscoveryServer:
-    """The service; its state is "up", "503", "refused", "reset" or "silent"."""
+    """The discovery service; its state is "up", "503", "refused", "reset" or "silent"."""
 
     def __init__(self, calls_per_s: float = 1000.0) -> None:
-        """Create a service that serves so many calls a second; calls that continue a watch are free."""
+        """Create a service that serves `calls_per_s` calls a second, besides those that continue a watch."""
         self.service_time_s = 1.0 / calls_per_s
         self.revision = 1
         self.state = "up"
         self.call_times = list[float]()
         """The time of arrival of each call."""
         self.served_times = list[float]()
-        """The time at which each call that was served had its turn."""
+        """The time at which the service of each served call started."""
         self._free_at = 0.0
         self._changed = asyncio.Event()
         self._open_watches = dict[asyncio.Future[None], _OpenWatch]()
-        """By the future that is set where the watch is to get no answer."""
+        """By the future that is set to leave the watch without an answer."""
 
     def publish_change(self) -> None:
         """Publish a new revision; open watches are answered."""
@@ -86,10 +86,10 @@
         self._changed = asyncio.Event()
 
     def set_state(self, state: str) -> dict[DiscoveryConnection, float]:
-        """Enter a state; open watches end by it.
+        """Enter a state; open watches break unless it is "up", and get no answer where it is "silent".
 
         Returns:
-            For the state "silent", when each open watch would have ended; otherwise nothing.
+            For the state "silent", when each open watch would have ended; otherwise an empty dict.
         """
         silenced = self.silence_watches() if state == "silent" else {}
         self.state = state
@@ -111,7 +111,7 @@
 
         Raises:
             ConnectionRefusedError: In the state "refused".
-            ConnectionBrokenError: In the state "reset", and where a watch ends by a state other than "up".
+            ConnectionBrokenError: In the state "reset", or where the state is not "up" any more during a watch.
         """
         arrived_at = asyncio.get_running_loop().time()
         self.call_times.append(arrived_at)
@@ -127,7 +127,7 @@
         return 200, orjson.dumps({"rev": self.revision, "all": since_revision < 0, "targets": rows})
 
     async def _wait_for_turn(self, arrived_at: float) -> bool:
-        """Wait until a call has been served; return False where that would have taken too long."""
+        """Queue for service, and wait until it is done; return False after QUEUE_TIMEOUT_S in a longer queue."""
         starts_at = max(arrived_at, self._free_at)
         if starts_at - arrived_at > QUEUE_TIMEOUT_S:
             await asyncio.sleep(QUEUE_TIMEOUT_S)
@@ -153,14 +153,14 @@
                 )
                 changed.cancel()
                 if silenced.done():
-                    await _never()
+                    await _wait_forever()
                 await self._fail_unless_up(connected=True)
         finally:
             self._open_watches.pop(silenced, None)
 
     async def _fail_unless_up(self, connected: bool = False) -> None:
         if self.state == "silent":
-            await _never()
+            await _wait_forever()
         if self.state == "refused" and not connected:
             raise ConnectionRefusedError
         if self.state != "up":
@@ -168,10 +168,10 @@
 
 
 class DiscoveryConnection:
-    """The connection of a follower to a discovery service; takes the place of `http1.Client`."""
+    """The connection of a follower to a discovery service, in place of an `http1.Client`."""
 
     def __init__(self, discovery: DiscoveryServer) -> None:
-        """Create a connection that has exchanged nothing."""
+        """Create a connection on which nothing has been exchanged."""
         self._discovery = discovery
         self._answered_at = float("-inf")
         self._pending_timeouts = set[asyncio.Timeout]()
@@ -199,14 +199,14 @@
         return answer
 
     def close(self) -> None:
-        """Close the connection: pending exchanges time out at once."""
+        """Close the connection; pending exchanges time out at once."""
         for timeout in self._pending_timeouts:
             if not timeout.expired():
                 timeout.reschedule(asyncio.get_running_loop().time())
 
 
 class _NullComponent:
-    """Takes the place of a part of a sender that following the endpoint list does not need."""
+    """Replaces a component of a sender that is not needed to follow the endpoint list."""
 
     outstanding = machines = None
 
@@ -215,7 +215,7 @@
 
 
 class ListFollower:
-    """The part of a sender that follows the endpoint list; `received` has the time and revision of each update."""
+    """The part of a sender that follows the endpoint list; `received` holds the time and revision of each update."""
 
     def __init__(
         self,
@@ -224,7 +224,7 @@
         seed: int = 1,
         source: EndpointSource | None = None,
     ) -> None:
-        """Create a follower, which asks for nothing before `start`; its source is an HTTP source by default."""
+        """Create a follower that sends no call before `start`; its source is an HTTP source by default."""
         loop = asyncio.get_running_loop()
         self.telemetry = UnloggedTelemetry()
         self.policy = Policy(settings, seed)
@@ -242,7 +242,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to follow, as a process does once it has loaded its cached list."""
+        """Start to follow the list, as a sender does once it has loaded its cached list."""
         self.dispatcher.notify(TimerExpired(0))
         if not self.core.settings.must_poll:
             self.core.poll_now()
@@ -259,7 +259,7 @@
         return next((at for at, received in self.received if received >= revision), float("inf"))
 
     async def stop(self) -> None:
-        """Stop to follow."""
+        """Stop following the list."""
         if self.task:
             self.task.cancel()
             await asyncio.wait({self.task})
