--- a/kestreltrack/testing/emulator/fleet_members.py
+++ b/kestreltrack/testing/emulator/fleet_members.py
@@ -1,4 +1,4 @@
-"""Communication between simulated senders: their own membership and quota sharing, on a simulated network."""
+"""Communication between simulated senders: the real membership and quota sharing on a simulated network."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def sender_groups(senders: int, zones: tuple[str, ...]) -> dict[str, set[str]]:
-    """Return the names of senders by group, as scenarios name them."""
+    """Return the names of the senders by group, under the group names that scenarios use."""
     names = [f"s{n + 1}" for n in range(senders)]
     groups: dict[str, set[str]] = {"senders": set(names)}
     for n, name in enumerate(names):
@@ -29,7 +29,7 @@
 
 
 class SimulatedDatagramNetwork:
-    """Carries the datagrams between senders; faults are injected on links by senders' names (`s1`) and groups."""
+    """Delivers datagrams between senders; faults are injected on the links between named senders (`s1`) or groups."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         seed: int,
         groups: dict[str, set[str]] | None = None,
     ) -> None:
-        """Create a network; `one_way_delay_ms` is called for each datagram, of which the part `loss` is lost."""
+        """Create a network; `one_way_delay_ms` is called for each datagram, and `loss` is the fraction lost."""
         self.links = Links(seed, groups)
         self.one_way_delay_ms = one_way_delay_ms
         self.loss = loss
@@ -72,7 +72,7 @@
         clock: Callable[[], float],
         telemetry: Telemetry,
     ) -> None:
-        """Create the member of a process; `incarnation` counts the processes of that name from 0."""
+        """Create the member of a process; `incarnation` numbers the processes of that name from 0."""
         self.network = network
         self.incarnation = incarnation
         seeds = [f"s{n + 1}:1" for n in range(SEED_COUNT)]
@@ -88,11 +88,11 @@
         return int(self.clock()) + self.incarnation + 1
 
     def random_seed(self) -> int:
-        """Return a seed that follows from the simulation's seed."""
+        """Return a seed that is derived from the seed of the simulation."""
         return self.network.random.randrange(2**32)
 
     def kill(self) -> None:
-        """End without notifying the others."""
+        """Stop at once, without notifying the other members."""
         SimulatedDatagramTransport(self).close()
 
 
@@ -100,13 +100,13 @@
     """The datagram transport of a member."""
 
     def __init__(self, member: SimulatedMember) -> None:
-        """Create a transport; it is closed once another incarnation, or none, has the name."""
+        """Create a transport; it is closed once its member is no longer the receiver for the name."""
         self.network = member.network
         self.name = member.local_member.name
         self.member = member
 
     def sendto(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Send a datagram to a sender, whose name is the host of the address."""
+        """Send a datagram to the sender that the host of the address names."""
         self.network.send(self.name, addr[0], data)
 
     def is_closing(self) -> bool:
@@ -138,7 +138,7 @@
         self._tasks = [asyncio.create_task(self.member.run()), asyncio.create_task(self.quota_sharing.run())]
 
     def kill(self) -> None:
-        """End without notifying the others."""
+        """Stop at once, without notifying the other members."""
         self.member.kill()
         for task in self._tasks:
             task.cancel()
