--- a/kestreltrack/testing/emulator/notifier.py
+++ b/kestreltrack/testing/emulator/notifier.py
@@ -1,4 +1,4 @@
-"""The platform that takes the status notifications of a simulated sender."""
+"""A simulated platform that receives the status notifications of a sender."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class SimulatedNotifier:
-    """Accepts status notifications at once, and passes negative acknowledgements to the client."""
+    """Accepts status notifications at once, and passes negative acknowledgements on to the client."""
 
     def __init__(
         self, sender: int, emit: Callable[[Event], None], on_nack: Callable[[str, float], None]
     ) -> None:
-        """Create a notifier; `on_nack` gets the message's identifier and the retry-after in milliseconds."""
+        """Create a notifier; `on_nack` is called with a message's identifier and the retry-after in milliseconds."""
         self._sender = sender
         self._emit = emit
         self._on_nack = on_nack
