--- a/kestreltrack/testing/emulator/sender_settings.py
+++ b/kestreltrack/testing/emulator/sender_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the senders of a scenario are given."""
+"""Derives the settings of the senders from a scenario."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 }
 POLL_INTERVAL_MS = 4000.0
 
-# Mean time that an attempt spends on the network, beside its work: a round trip at the usual delays.
+# Mean network time of an attempt, in addition to its work: a round trip at typical delays.
 MEAN_NETWORK_MS = 60.0
 
 
@@ -34,10 +34,10 @@
     mean_work_ms: Mapping[str, float],
     sender_count: int,
 ) -> Settings:
-    """Return the settings of the first sender of a scenario; others differ in their zone.
+    """Return the settings of the first sender of a scenario; other senders differ in their zone.
 
-    `mean_work_ms` is the mean work of a message by class, `sender_count` what a sender takes for the number of
-    senders that share each limit.
+    `mean_work_ms` is the mean work of a message by class, `sender_count` the number of senders that each sender
+    assumes to share each limit.
     """
     fleet = scenario.fleet
     rate_per_s = scenario.load.full / fleet.senders
@@ -83,7 +83,7 @@
 
 
 def _safety_limits(scenario: Scenario) -> SafetyLimits:
-    """Return the safety limits, with the least initial share and the longest warm-up of all destinations."""
+    """Return the safety limits, with the lowest cold-start share and the longest warm-up of all destination kinds."""
     rules = scenario.rules
     return SafetyLimits(
         rules.answer_slack_ms,
