--- a/kestreltrack/testing/emulator/service_registry.py
+++ b/kestreltrack/testing/emulator/service_registry.py
@@ -1,4 +1,4 @@
-"""The service registry of a simulation, and the endpoint list as each sender learns it."""
+"""A simulated service registry, and the source from which each sender receives its endpoint list."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class ServiceRegistry:
-    """The true list of endpoints; it passes each change to its subscribers."""
+    """The authoritative endpoint list, which passes each change to its subscribers."""
 
     def __init__(self, pushes_changes: bool = False) -> None:
         """Create an empty registry.
 
-        Where it pushes changes, an agent beside each sender gets them, and senders do not poll.
+        Where it pushes changes, an agent next to each sender receives them, and senders do not poll.
         """
         self.endpoints = dict[str, ListedEndpoint]()
         self.pushes_changes = pushes_changes
         self.revision = 0
         self.unavailable_until = float("-inf")
-        """The end (ms) of the current outage."""
+        """The end of the current or last outage, in milliseconds."""
         self._subscribers = dict[SimulatedEndpointSource, None]()
 
     def publish(self, endpoint: ListedEndpoint) -> None:
-        """Add, change or remove an endpoint, by its state."""
+        """Add, update or remove an endpoint, according to its state."""
         self.revision += 1
         if endpoint.state is EndpointLifecycle.REMOVED:
             self.endpoints.pop(endpoint.uid, None)
@@ -41,12 +41,12 @@
         return EndpointListUpdate(self.revision, True, tuple(self.endpoints.values()))
 
     def unsubscribe(self, subscriber: SimulatedEndpointSource) -> None:
-        """Pass no more changes to a subscriber."""
+        """Stop passing changes to a subscriber."""
         self._subscribers.pop(subscriber, None)
 
 
 class SimulatedEndpointSource:
-    """An `EndpointSource` of one sender: each change reaches it with a propagation delay."""
+    """The `EndpointSource` of one sender, which receives each change after a propagation delay."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._last_delivery_s = 0.0
 
     def on_change(self, revision: int, endpoint: ListedEndpoint) -> None:
-        """Deliver a change after its delay, in the order of the changes; during an outage, after its end."""
+        """Deliver a change after its delay, never before an earlier change; an outage postpones it to its end."""
         loop = asyncio.get_running_loop()
         sent_s = max(loop.time(), self._registry.unavailable_until / 1000.0)
         self._last_delivery_s = max(self._last_delivery_s, sent_s + self._propagation_delay_ms() / 1000.0)
@@ -73,7 +73,7 @@
         loop.call_at(self._last_delivery_s, self._queue.put_nowait, update)
 
     def disconnect(self) -> None:
-        """Begin an outage of the registry: `follow` ends with an error unless changes are pushed."""
+        """Handle the start of an outage: `follow` raises an error unless changes are pushed."""
         if not self._registry.pushes_changes:
             self._queue.put_nowait(None)
 
