--- a/kestreltrack/testing/emulator/simulated_sender.py
+++ b/kestreltrack/testing/emulator/simulated_sender.py
@@ -1,6 +1,6 @@
-"""A sender's process in simulated time: the real core, dispatcher, journal and policy on simulated ports.
+"""A sender's process in virtual time: the real core, dispatcher, journal and policy on simulated ports.
 
-What remains of it when it ends is the folder of its journal.
+Only the journal's folder survives the end of the process.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from kestreltrack.testing.emulator.service_registry import SimulatedEndpointSource
 from kestreltrack.testing.emulator.transport import SimulatedTransport
 
-# A simulated day fills a fraction of this.
-JOURNAL_BYTES = 64 * 1024 * 1024
+# Size limit of a journal; a simulated run fills a fraction of it.
+MAX_JOURNAL_BYTES = 64 * 1024 * 1024
 
 
 class _DisabledDecider:
-    """Takes the place of the policy of a process that has ended, whose timers are still on the loop."""
+    """Replaces the policy of a process that has ended, whose timers are still pending on the loop."""
 
     def handle(self, now: float, event: Event) -> None:
         """Ignore the event."""
@@ -38,23 +38,23 @@
         return ()
 
     def permits(self, now: float, dest: int, endpoint_name: str) -> bool:
-        """Permit no attempt to send its first byte."""
+        """Do not permit an attempt to send its first byte."""
         return False
 
 
 def disable_dispatcher(dispatcher: Dispatcher) -> None:
-    """Make a dispatcher decide nothing from now on, and forget its pending messages."""
+    """Stop a dispatcher from making decisions, and drop its pending messages."""
     dispatcher.decider = _DisabledDecider()
     dispatcher.pending_messages.clear()
 
 
 class SilentTelemetry(Telemetry):
-    """Telemetry that counts, and writes no log lines."""
+    """Telemetry that counts but writes no log lines."""
 
     def record_fault(self, counter: str, **fields: object) -> None:
         """Count a fault.
 
-        The number of log lines would depend on the real clock, on which no simulated run may depend.
+        The rate limit of fault lines uses the real clock, on which no simulated run may depend.
         """
         self.count(counter)
 
@@ -76,16 +76,16 @@
         clock: Callable[[], float],
         decider: Callable[[Policy], Decider] | None = None,
     ) -> None:
-        """Read the journal that the previous incarnation has left; `decider` may wrap or replace the policy."""
+        """Load the journal of the previous incarnation; `decider` may wrap or replace the policy."""
         self.telemetry = SilentTelemetry()
         self.policy = Policy(settings, seed)
         self.dispatcher = Dispatcher(decider(self.policy) if decider else self.policy, clock, self.telemetry)
         self.dispatcher.max_batch_size = transport.max_batch_size
-        self.journal = Journal(folder, JOURNAL_BYTES, self.telemetry)
+        self.journal = Journal(folder, MAX_JOURNAL_BYTES, self.telemetry)
         self.transport = transport
         self.endpoint_source = endpoint_source
         transport.is_unhealthy = self._is_unhealthy
-        # With a seed of its own, a run depends on the simulation's seed alone.
+        # A seeded generator makes the jitter depend on the simulation's seed alone.
         jitter = random.Random(seed).random
         self.core = Core(
             self.dispatcher,
@@ -101,14 +101,14 @@
         self._submissions = dict[asyncio.Task[SubmitResult], None]()
         self.alive = True
         self.fleet: FleetParticipation | None = None
-        """Set where the senders of the scenario communicate."""
+        """None where the senders of the scenario do not communicate."""
 
     def _is_unhealthy(self, dest: int) -> bool:
-        found = self.policy.destinations.get(dest)
-        return bool(found and found.unhealthy)
+        destination = self.policy.destinations.get(dest)
+        return bool(destination and destination.unhealthy)
 
     def start(self) -> int:
-        """Start as `sender/assembly.py` does, and return the number of recovered messages."""
+        """Start in the order of `sender/assembly.py`, and return the number of recovered messages."""
         cached_endpoints = self.journal.endpoints
         if cached_endpoints is not None:
             self.dispatcher.notify(self.core.endpoint_list.apply(cached_endpoints, cached=True))
@@ -135,7 +135,7 @@
             self._submissions.pop(task, None)
 
     async def kill(self) -> None:
-        """End the process at this instant, without any shutdown."""
+        """End the process at once, without a shutdown."""
         self.alive = False
         if self.fleet:
             self.fleet.kill()
