--- a/kestreltrack/testing/emulator/simulation.py
+++ b/kestreltrack/testing/emulator/simulation.py
@@ -32,7 +32,7 @@
 from kestreltrack.testing.emulator.virtual_time import run_in_virtual_time
 from kestreltrack.testing.harness.links import LinkFault, Links
 
-# Interval of the checks whether every message has its final answer.
+# Interval between checks of whether every message has its final answer.
 SETTLE_POLL_S = 0.25
 
 
@@ -48,10 +48,10 @@
         decider: Callable[[int, Policy], Decider] | None = None,
         sender_count: int | None = None,
     ) -> None:
-        """Draw what is constant over the day.
+        """Create the deployment, and draw the random values that stay constant during a run.
 
         `decider` may wrap or replace the policy of each sender.  `sender_count` is the number of senders that each
-        sender assumes; by default the true one.
+        sender assumes; the default is the actual number.
         """
         self.scenario = scenario
         self.random_streams = RandomStreams(seed)
@@ -65,7 +65,11 @@
         self.traffic = self.deployment.traffic
         self.kinds = self.deployment.kinds
         self.destinations = self.deployment.destinations
-        self.endpoints = {e.uid: e for d in self.destinations.values() for e in d.endpoints}
+        self.endpoints = {
+            endpoint.uid: endpoint
+            for destination in self.destinations.values()
+            for endpoint in destination.endpoints
+        }
         self.registry = self._create_registry()
         self.independent_destinations = frozenset(
             number for number, kind in self.kinds.items() if kind.routes == "apart"
@@ -73,9 +77,9 @@
         self.settings = build_settings(
             scenario, self.random_streams, self.deployment.mean_work_ms_of_class, self._sender_count
         )
-        """The settings of the first sender: others differ in their zone."""
+        """The settings of the first sender; other senders differ in their zone."""
         self.processes: list[SimulatedSender | None] = [None] * scenario.fleet.senders
-        """The running process of each sender; None while it is away."""
+        """The running process of each sender; None while it is down."""
         self.ingress = Ingress(self.processes, self.random_streams.uniform("front"))
         self.clients = self._create_clients()
         self._one_way_delays_ms = dict[tuple[int, int], float]()
@@ -119,7 +123,7 @@
     def listed_endpoint(
         self, endpoint: SimulatedEndpoint, lifecycle: EndpointLifecycle = EndpointLifecycle.UP
     ) -> ListedEndpoint:
-        """Return an endpoint's entry in the endpoint list, with the rate as the scenario lets senders know it."""
+        """Return the list entry of an endpoint, with its rate at the accuracy that the scenario sets."""
         destination = endpoint.destination
         kind = self.kinds[destination.number]
         has_limit = kind.limit != "none"
@@ -139,7 +143,7 @@
     # Senders ---------------------------------------------------------------------------------------
 
     def _one_way_delay_ms(self, sender: int, dest: int) -> float:
-        """Return the delay between a sender and a destination, which is constant over the day."""
+        """Return the delay between a sender and a destination, which is constant during a run."""
         delay_ms = self._one_way_delays_ms.get((sender, dest))
         if delay_ms is None:
             rng = self.random_streams.generator("way", sender, dest)
@@ -156,7 +160,7 @@
         return request_for
 
     def start_sender(self, sender: int) -> None:
-        """Start a sender's process in the folder that its previous incarnation has left."""
+        """Start a sender's process in the folder of its previous incarnation."""
         incarnation = self._incarnations[sender]
         self._incarnations[sender] += 1
         process = self._create_process(sender, incarnation)
@@ -217,7 +221,7 @@
         return endpoint if endpoint and not endpoint.removed else None
 
     async def crash(self, sender: int, away_s: float) -> None:
-        """Kill a sender's process, and start it again after `away_s` seconds."""
+        """Kill a sender's process, and restart it after `away_s` seconds."""
         process = self.processes[sender]
         if process is None:
             return
@@ -241,7 +245,7 @@
             InvalidScenarioError: The senders of the scenario do not communicate.
         """
         if self.fleet_network is None:
-            raise InvalidScenarioError("fault.between: without fleet.talk nothing passes between senders")
+            raise InvalidScenarioError("fault.between: senders do not communicate without fleet.talk")
         return self.fleet_network.links
 
     def check_faults(self) -> None:
@@ -251,7 +255,7 @@
             InvalidScenarioError: One of them cannot.
         """
         if set(self.scenario.fleet.clocks) != {1.0}:
-            raise InvalidScenarioError("fleet.clocks: all senders have the one clock here")
+            raise InvalidScenarioError("fleet.clocks: all senders share one clock in the emulator")
         for fault in self.scenario.fault:
             self._check_fault(fault)
 
@@ -259,13 +263,15 @@
         unknown = [name for name in fault.between if name != "*" and not self._senders_named(name)]
         if fault.between and self.links() and unknown:
             raise InvalidScenarioError(
-                f"fault.between: {unknown[0]}: only links between senders are played here"
+                f"fault.between: {unknown[0]}: only links between senders can be simulated"
             )
         if fault.reset or fault.bytes_s:
-            raise InvalidScenarioError("fault.reset, fault.bytes_s: only datagrams pass between senders here")
+            raise InvalidScenarioError(
+                "fault.reset, fault.bytes_s: simulated senders exchange datagrams only"
+            )
         if fault.process in ("stop", "pause") or fault.emptied:
             raise InvalidScenarioError(
-                f"fault.process: {fault.process}: only kill, with the folder kept, is played here"
+                f"fault.process: {fault.process}: only kill, with the folder kept, can be simulated"
             )
 
     def _senders_named(self, name: str) -> list[int]:
@@ -298,7 +304,7 @@
         self.links().heal(first, second)
 
     async def inject_process_fault(self, sender: int, table: TargetedFaultTable) -> None:
-        """Play a fault of a sender's process to its end."""
+        """Inject a fault of a sender's process, and return after its end."""
         await self.crash(sender, table.for_s)
 
     async def registry_outage(self, duration_s: float) -> None:
@@ -330,7 +336,7 @@
                 await process.kill()
 
     async def run(self) -> None:
-        """Run the day, and then on until every message has its final answer or the tail is over."""
+        """Run the scenario, then wait until every message has its final answer or the tail has elapsed."""
         await self.start_all()
         tasks = self._start_faults()
         await self.clients.generate_arrivals()
@@ -355,11 +361,11 @@
             await asyncio.sleep(SETTLE_POLL_S)
 
     def has_pending_messages(self) -> bool:
-        """Return whether any sender has an outstanding message, or is away."""
+        """Return whether any sender is down or has an outstanding message."""
         return any(process is None or process.journal.outstanding for process in self.processes)
 
     def counters(self) -> dict[str, int]:
-        """Return the sums of the counters of the senders' last incarnations."""
+        """Return the summed counters of the senders' last incarnations; a sender that is down is left out."""
         totals = dict[str, int]()
         for process in self.processes:
             if process is None:
@@ -377,9 +383,9 @@
     sender_count: int | None = None,
     on_created: Callable[[Simulation], None] | None = None,
 ) -> Simulation:
-    """Run a scenario to its end in simulated time, and return the simulation.
+    """Run a scenario to its end in virtual time, and return the simulation.
 
-    `on_created` gets the simulation before it begins; for the other parameters see `Simulation`.
+    `on_created` is called with the simulation before it starts; for the other parameters see `Simulation`.
 
     Raises:
         InvalidScenarioError: The scenario has a fault that cannot be simulated.
