--- a/kestreltrack/testing/emulator/transport.py
+++ b/kestreltrack/testing/emulator/transport.py
@@ -1,6 +1,6 @@
-"""The attempts of a simulated sender: a `Transport` to simulated endpoints in simulated time.
+"""A `Transport` of a simulated sender, which sends attempts to simulated endpoints in virtual time.
 
-The sender's core cannot tell it from the transport on sockets, and takes the same decisions.
+It behaves at its port as the transport on sockets does, so that the sender's core takes the same decisions.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 OUTCOME_OF_STATUS = {"ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.REJECTED}
 
-# All attempts of one decision start at the same instant; the least delay after it lets all of them join their call.
+# All attempts of one decision start at the same instant; a minimal delay lets all of them join the call.
 BATCH_GATHER_S = 1e-6
 
 
@@ -29,7 +29,7 @@
 
     endpoint: SimulatedEndpoint
     idle_since: float
-    """Milliseconds of the loop's clock."""
+    """Time on the loop's clock, in milliseconds."""
 
 
 @dataclass(slots=True, eq=False)
@@ -39,9 +39,9 @@
     attempt: Attempt
     result: asyncio.Future[AttemptResult]
     abandoned_outcome: Outcome | None = None
-    """Set once the attempt is cancelled or timed out: its outcome if the call ends now."""
+    """The outcome if the call ends now; set once the attempt is cancelled or timed out."""
     sent_at: float = -1.0
-    """When its first byte was sent, in seconds of the loop's clock; negative before."""
+    """The time on the loop's clock (s) at which its first byte was sent; negative before that."""
 
 
 @dataclass(slots=True, eq=False)
@@ -50,11 +50,11 @@
 
     endpoint: str
     batched: bool = False
-    """Other attempts of the same instant may join it."""
+    """Other attempts of the same decision may join the call."""
     items: list[BatchItem] = field(default_factory=list)
     task: asyncio.Task[None] | None = None
     opened_connection: bool = False
-    """It has opened a new connection."""
+    """The call has opened a new connection."""
     sealed: bool = False
     """No more attempts can join it."""
 
@@ -64,7 +64,8 @@
         if self.task and all(other.abandoned_outcome or other.result.done() for other in self.items):
             self.task.cancel()
         elif (item.sent_at < 0 or outcome is Outcome.TIMED_OUT) and not item.result.done():
-            # A cancelled attempt that was sent has no result before the call ends: it could be retried meanwhile.
+            # An attempt that is cancelled after it was sent gets no result before the call ends: an earlier result
+            # would allow a retry meanwhile.
             item.result.set_result(self.abandoned_result(item))
 
     @staticmethod
@@ -76,7 +77,7 @@
         return AttemptResult(Outcome.UNREACHABLE if outcome is Outcome.TIMED_OUT else Outcome.NOT_SENT)
 
     def complete(self, result: AttemptResult) -> None:
-        """Give the attempts that have no result yet the result of the call."""
+        """Set the result of the call for the attempts that have none yet."""
         for item in self.items:
             if not item.result.done():
                 item.result.set_result(result)
@@ -121,12 +122,12 @@
         self.in_flight = dict[int, int]()
         self.is_unhealthy: Callable[[int], bool] = lambda dest: False
         self.attempt_counts = dict[str, int]()
-        # Dicts keep the order of insertion, which a set would change from run to run.
+        # Dicts iterate in insertion order; the order of a set would differ between runs.
         self._active_tasks = dict[asyncio.Task[object], None]()
         self._open_connections = dict[SimulatedEndpoint, int]()
 
     def max_batch_size(self, uid: str) -> int:
-        """Return how many messages a call to an endpoint holds at most."""
+        """Return the maximum number of messages in a call to an endpoint."""
         endpoint = self._find_endpoint(uid)
         return endpoint.destination.max_batch_size if endpoint else 1
 
@@ -153,12 +154,12 @@
             self._active_tasks.pop(task, None)
 
     async def _send(self, attempt: Attempt) -> AttemptResult:
-        shared = attempt.batch_call
-        if shared is None:
+        batch = attempt.batch_call
+        if batch is None:
             return await self._join(OutboundCall(attempt.endpoint), attempt)
-        if shared.add_attempt is None:
-            shared.add_attempt = partial(self._join, OutboundCall(attempt.endpoint, batched=True))
-        return await shared.add_attempt(attempt)
+        if batch.add_attempt is None:
+            batch.add_attempt = partial(self._join, OutboundCall(attempt.endpoint, batched=True))
+        return await batch.add_attempt(attempt)
 
     async def _join(self, call: OutboundCall, attempt: Attempt) -> AttemptResult:
         """Add an attempt to a call, or to a new one where it is sealed, and return its result."""
@@ -175,7 +176,7 @@
         return result
 
     async def _wait_for_result(self, call: OutboundCall, item: BatchItem) -> AttemptResult:
-        """Wait for a result, which a cancellation or the timeout abandons the attempt for."""
+        """Wait for a result; a cancellation or the timeout abandons the attempt."""
         timer = asyncio.get_running_loop().call_later(
             item.attempt.timeout_ms / 1000.0, call.abandon, item, Outcome.TIMED_OUT
         )
@@ -183,7 +184,7 @@
             try:
                 await asyncio.wait({item.result})
             except asyncio.CancelledError:
-                # The result says that the attempt was cancelled, as the port of the transport has it.
+                # The `Transport` port reports a cancellation as a result, not as an exception.
                 call.abandon(item, Outcome.CANCELLED)
         timer.cancel()
         return item.result.result()
@@ -227,14 +228,14 @@
         call.opened_connection = idle is None
         call.items = [item for item in call.items if self._begin(item)]
         if not call.items:
-            self._keep_idle(call.endpoint, endpoint)
+            self._add_idle(call.endpoint, endpoint)
             return
         reply = await self._exchange(call, endpoint, dest, delay_s)
         if reply.status == "reset":
             self._close(endpoint)
             call.complete(AttemptResult(Outcome.CONNECTION_BROKEN, stale_connection=idle is not None))
         else:
-            self._keep_idle(call.endpoint, endpoint)
+            self._add_idle(call.endpoint, endpoint)
             call.complete(self._result(reply))
 
     @staticmethod
@@ -264,21 +265,21 @@
         def on_reply(reply: Reply) -> None:
             loop.call_later(delay_s, receive, reply)
 
-        abandon_functions = list[Callable[[], None]]()
+        abandon_callbacks = list[Callable[[], None]]()
         first, *others = [self._request_for(item.attempt.message.id) for item in call.items]
 
         def arrive() -> None:
-            abandon_functions.append(endpoint.call(first, on_reply, *others))
+            abandon_callbacks.append(endpoint.call(first, on_reply, *others))
 
         def abandon() -> None:
-            for function in abandon_functions:
-                function()
+            for callback in abandon_callbacks:
+                callback()
 
         loop.call_later(delay_s, arrive)
         try:
             return await answer
         except asyncio.CancelledError:
-            # The connection is closed; the endpoint learns of it a delay later, if the call has arrived by then.
+            # The endpoint sees the closed connection after the one-way delay, if the call has arrived by then.
             loop.call_later(delay_s, abandon)
             self._close(endpoint)
             raise
@@ -337,13 +338,13 @@
             self._close(idle.endpoint)
 
     def _close(self, endpoint: SimulatedEndpoint) -> None:
-        # Without an entry the process has ended meanwhile, and its connections are closed.
+        # Without an entry the process has ended meanwhile, and `kill` has closed its connections.
         if endpoint in self._open_connections:
             self._open_connections[endpoint] -= 1
             endpoint.disconnect()
 
     def _take_idle(self, uid: str, now: float) -> IdleConnection | None:
-        """Take the connection that was used last; connections that are too old or to removed endpoints are closed."""
+        """Take the most recently used connection; expired ones and those to removed endpoints are closed."""
         idle = self.idle_connections.get(uid, [])
         while idle:
             connection = idle.pop()
@@ -352,7 +353,7 @@
             self._close(connection.endpoint)
         return None
 
-    def _keep_idle(self, uid: str, endpoint: SimulatedEndpoint) -> None:
+    def _add_idle(self, uid: str, endpoint: SimulatedEndpoint) -> None:
         if endpoint in self._open_connections:
             idle_since = asyncio.get_running_loop().time() * 1000.0
             self.idle_connections.setdefault(uid, []).append(IdleConnection(endpoint, idle_since))
