--- a/kestreltrack/testing/emulator/virtual_time.py
+++ b/kestreltrack/testing/emulator/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop on a virtual clock: code of asyncio runs unchanged, and an hour takes as long as its work.
+"""An asyncio event loop on a virtual clock, which runs unmodified asyncio code without waiting for timers.
 
-Where the loop would sleep until its next timer, it sets the clock to that time instead.  Nothing on it may wait for a
-socket, a thread or a process: such a wait would never end, and raises `DeadlockError`.
+Where the loop would sleep until its next timer, it advances the clock to that time instead.  No task may wait for a
+socket, a thread or a process: no such event is ever delivered, and once no timer is left, `DeadlockError` is raised.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class DeadlockError(RuntimeError):
-    """All tasks wait, and no timer is set: one of them waits for something other than the clock."""
+    """No timer is set and all tasks wait, at least one of them for something other than the clock."""
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
@@ -24,7 +24,7 @@
     loop: VirtualTimeLoop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Advance the clock by the timeout; no event is ever ready.
+        """Advance the clock by the timeout; no I/O event is ever ready.
 
         Raises:
             DeadlockError: The loop would wait without a timeout.
@@ -37,10 +37,10 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock is the attribute `now`, in seconds."""
+    """An event loop whose clock is its attribute `now`, in seconds."""
 
     def __init__(self, start: float = 0.0) -> None:
-        """Create a loop whose clock begins at `start` seconds."""
+        """Create a loop whose clock starts at `start` seconds."""
         selector = _VirtualTimeSelector()
         self.now = start
         selector.loop = self
@@ -52,7 +52,7 @@
 
 
 def run_in_virtual_time(coroutine: Coroutine[Any, Any, T], start: float = 0.0) -> T:
-    """Run a coroutine on a virtual clock that begins at `start` seconds, and return its result.
+    """Run a coroutine on a virtual clock that starts at `start` seconds, and return its result.
 
     Raises:
         DeadlockError: All tasks wait for something other than the clock.
