--- a/kestreltrack/testing/emulator/simulation.py
+++ b/kestreltrack/testing/emulator/simulation.py
@@ -132,8 +132,8 @@
             case "none":
                 listed_rate = 1.0
             case "rough":
-                inaccuracy = self.random_streams.sampler(kind.rough, "rough", destination.number)()
-                listed_rate = rate * inaccuracy
+                error_factor = self.random_streams.sampler(kind.rough, "rough", destination.number)()
+                listed_rate = rate * error_factor
             case "exact":
                 listed_rate = rate
         return ListedEndpoint(
