--- a/kestreltrack/testing/model_checking/quota_leases/__init__.py
+++ b/kestreltrack/testing/model_checking/quota_leases/__init__.py
@@ -1,12 +1,12 @@
-"""Search over all interleavings of the quota leases' transitions, to a depth.
+"""Bounded model checker for quota leases: explores all interleavings of their transitions up to a depth.
 
-The transitions (`fleet/quota_leases.py`) are the code that senders run.  A state is the holders, the grantors, the
-messages in flight, and the time; two states that differ only by how long they have lasted are one.  Messages may be
-lost, late or repeated, and processes may crash and restart.  Any holder may send a request to any grantor at any
-moment: that covers every partition, every view of the membership, and two grantors at once.  A pause is a holder or
-grantor that does nothing while time passes.
+The transitions are the production code in `fleet/quota_leases.py`.  A state consists of the holders, the grantors,
+the messages in flight and the time; states that differ only by a shift in time are equivalent.  Messages may be lost,
+delayed or duplicated, and processes may crash and restart.  Any holder may send a request to any grantor at any time,
+which covers every partition, every view of the membership, and two grantors at once.  A paused process is a holder or
+grantor that takes no step while time passes.
 
-In each state all holders together may use at most the quota, which is 1.
+The invariant: in every state the usable quotas of all holders sum to at most the budget, which is 1.
 """
 
 from __future__ import annotations
--- a/kestreltrack/testing/model_checking/quota_leases/search.py
+++ b/kestreltrack/testing/model_checking/quota_leases/search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search over the states."""
+"""Breadth-first search of the state space."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     restart_process,
 )
 
-# The sum of shares may be over 1 by the rounding of floating-point numbers.
+# The budget of 1, plus a tolerance for floating-point rounding.
 MAX_TOTAL_SHARE = 1.0 + 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseSearchResult:
-    """How far a search went, and the steps to the first state in which more than 1 may be used, if any.
+    """The extent of a search, and the trace to the first state that exceeds the budget, if any.
 
     Attributes:
-        states: How many states it reached.
-        depth: How many steps deep it went.
-        max_used: The most that all holders together may use in any state.
-        trace: The steps to the violation; empty where there is none.
+        states: The number of distinct states reached.
+        depth: The length of the longest trace explored.
+        max_used: The largest sum of usable quotas in any state.
+        trace: The steps to the violation; empty if there is none.
     """
 
     states: int
@@ -43,26 +43,26 @@
     max_states: int = 1_000_000,
     restart: RestartStep = restart_process,
 ) -> LeaseSearchResult:
-    """Search breadth first, each state once, to a violation, which is then a shortest one.
+    """Explore each state once, breadth first, and stop at the first violation, whose trace is a shortest one.
 
     Args:
-        initial: The first state.
-        depth: The most steps from it.
-        limits: What may happen.
-        max_states: The most states; further ones are left out.
+        initial: The initial state.
+        depth: The maximum number of steps from it.
+        limits: Bounds on the steps.
+        max_states: The maximum number of states; states beyond it are not explored.
         restart: Restarts the process of a holder.
     """
     seen = {initial.canonical_key()}
     queue: deque[tuple[LeaseState, tuple[Step, ...]]] = deque([(initial, ())])
     reached_depth = 0
-    max_used = initial.total_used()
+    max_used = initial.total_usable_quota()
     while queue:
         state, trace = queue.popleft()
         reached_depth = len(trace)
         if reached_depth >= depth:
             continue
         for step, after in next_states(state, limits, restart):
-            used = after.total_used()
+            used = after.total_usable_quota()
             max_used = max(max_used, used)
             if used > MAX_TOTAL_SHARE:
                 return LeaseSearchResult(len(seen), reached_depth + 1, used, (*trace, step))
--- a/kestreltrack/testing/model_checking/quota_leases/state.py
+++ b/kestreltrack/testing/model_checking/quota_leases/state.py
@@ -1,4 +1,4 @@
-"""One state of the search: the holders, the grantors, the messages in flight, and the time."""
+"""A state of the model: the holders, the grantors, the messages in flight and the time."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
     TimedAmount,
 )
 
-# A grant of one step of time and a deposit of three: they expire within few steps.
+# A time step is 1 ms, so grants and deposits expire within a few steps.
 PARAMETERS = QuotaLeaseParameters(deposit_ms=3.0, grant_ms=1.0, reserved_fraction=0.25, clock_drift=0.0)
-# A response that is not remembered any more was made so long ago.
+# The assumed time of a response that its grantor no longer remembers.
 FORGOTTEN_AT_MS = -1e9
 
 
 @dataclass(slots=True)
 class LeaseState:
-    """One state.  A holder and a grantor are given by their index.
+    """A state; holders and grantors are identified by their index.
 
     Attributes:
         now: The time in milliseconds.
-        holders: The senders as holders of leases.
-        grantors: The senders as grantors of leases.
-        requests_in_flight: The holder that a request is of, the grantor that it is for, and the request.
-        responses_in_flight: The holder that a response is for, the grantor that it is of, and the response.
-        crashes_left: How many holders and grantors may still crash.
-        duplicates_left: How many messages may still be repeated.
+        holders: The lease holder of each sender.
+        grantors: The lease grantors.
+        requests_in_flight: The requesting holder, the receiving grantor and the request.
+        responses_in_flight: The receiving holder, the responding grantor and the response.
+        crashes_left: The number of crashes that may still occur.
+        duplicates_left: The number of requests that may still be duplicated.
     """
 
     now: float
@@ -43,7 +43,7 @@
     duplicates_left: int
 
     def copy(self, changed_holder: int = -1, changed_grantor: int = -1) -> LeaseState:
-        """Return a copy of which this holder and grantor, and all else but the others, may be changed."""
+        """Return a copy that may be modified, except for its other holders and grantors, which it shares."""
         return LeaseState(
             self.now,
             [
@@ -60,20 +60,21 @@
             self.duplicates_left,
         )
 
-    def total_used(self) -> float:
-        """Return what all holders may use at this instant."""
+    def total_usable_quota(self) -> float:
+        """Return the sum of the usable quotas of all holders."""
         return sum(holder.usable_quota(self.now) for holder in self.holders)
 
     def messages_in_flight(self) -> int:
-        """Return how many messages are in flight."""
+        """Return the number of messages in flight."""
         return len(self.requests_in_flight) + len(self.responses_in_flight)
 
-    # Identity
+    # Equivalence of states
 
     def canonical_key(self) -> tuple[object, ...]:
-        """Return what distinguishes this state from others.
+        """Return a key that is equal for equivalent states.
 
-        Times are relative to now, numbers of messages to the newest one, and what has expired is left out.
+        Times are relative to the current time, sequence numbers to the holder's newest one; expired entries are
+        omitted.
         """
         return (
             tuple(self._holder_key(holder) for holder in self.holders),
@@ -85,24 +86,24 @@
         )
 
     def _holder_key(self, holder: LeaseHolder) -> tuple[object, ...]:
-        last_response_age = None
+        last_response_offset = None
         if holder.grantor:
-            # The name of a grantor is `k` and its index.
+            # Grantors are named `k` followed by their index.
             grantor = int(holder.grantor[1:])
-            last_response_age = self._response_age(grantor, holder.epoch, holder.response_number)
+            last_response_offset = self._response_offset(grantor, holder.epoch, holder.response_number)
         pending_requests = tuple(
-            (seq - holder.seq, at - self.now)
-            for seq, at in holder.pending_requests.items()
-            if self.now - at < PARAMETERS.grant_ms
+            (seq - holder.seq, requested_at - self.now)
+            for seq, requested_at in holder.pending_requests.items()
+            if self.now - requested_at < PARAMETERS.grant_ms
         )
-        deposits = sorted((place, self._unexpired(rows)) for place, rows in holder.deposits.items())
+        deposits = sorted((process, self._unexpired(amounts)) for process, amounts in holder.deposits.items())
         amount, expires_at, seq = holder.grant
         return (
             holder.grantor,
             holder.epoch,
-            last_response_age,
+            last_response_offset,
             pending_requests,
-            tuple((place, unexpired) for place, unexpired in deposits if unexpired),
+            tuple((process, unexpired) for process, unexpired in deposits if unexpired),
             (amount, expires_at - self.now, seq - holder.seq) if expires_at > self.now else (),
         )
 
@@ -113,9 +114,9 @@
         return (
             grantor.epoch,
             tuple(latest_requests),
-            self._unexpired_by_name((name, [row]) for name, row in grantor.deposits.items()),
+            self._unexpired_by_name((name, [amount]) for name, amount in grantor.deposits.items()),
             self._unexpired_by_name(grantor.grants.items()),
-            self._unexpired_by_name((name, [row]) for name, row in grantor.demands.items()),
+            self._unexpired_by_name((name, [amount]) for name, amount in grantor.demands.items()),
         )
 
     def _requests_key(self) -> tuple[object, ...]:
@@ -126,7 +127,7 @@
                     grantor,
                     request.seq - self.holders[holder].seq,
                     request.epoch,
-                    repr(self._response_age(grantor, request.epoch, request.response_number)),
+                    repr(self._response_offset(grantor, request.epoch, request.response_number)),
                     request.deposit,
                     request.demand,
                 )
@@ -142,24 +143,26 @@
                     grantor,
                     response.seq - self.holders[holder].seq,
                     response.epoch,
-                    repr(self._response_age(grantor, response.epoch, response.response_number)),
+                    repr(self._response_offset(grantor, response.epoch, response.response_number)),
                     response.grant,
                 )
                 for holder, grantor, response in self.responses_in_flight
             )
         )
 
-    def _unexpired(self, rows: Iterable[TimedAmount]) -> tuple[tuple[float, float], ...]:
-        """Return the amounts that have not expired, and how long they still last."""
+    def _unexpired(self, amounts: Iterable[TimedAmount]) -> tuple[tuple[float, float], ...]:
+        """Return the unexpired amounts with their remaining durations."""
         now = self.now
-        return tuple(sorted((amount, expiry - now) for amount, expiry in rows if expiry > now))
+        return tuple(sorted((amount, expiry - now) for amount, expiry in amounts if expiry > now))
 
-    def _unexpired_by_name(self, rows_by_name: Iterable[tuple[str, list[TimedAmount]]]) -> tuple[object, ...]:
-        unexpired_by_name = sorted((name, self._unexpired(rows)) for name, rows in rows_by_name)
+    def _unexpired_by_name(
+        self, amounts_by_name: Iterable[tuple[str, list[TimedAmount]]]
+    ) -> tuple[object, ...]:
+        unexpired_by_name = sorted((name, self._unexpired(amounts)) for name, amounts in amounts_by_name)
         return tuple((name, unexpired) for name, unexpired in unexpired_by_name if unexpired)
 
-    def _response_age(self, grantor: int, epoch: int, response_number: int) -> float | None:
-        """Return the negative age of a grantor's response; `None` where a deposit upon it is over."""
+    def _response_offset(self, grantor: int, epoch: int, response_number: int) -> float | None:
+        """Return the send time of a response relative to now; `None` if a deposit that refers to it has expired."""
         responder = self.grantors[grantor]
         sent_at = FORGOTTEN_AT_MS
         if responder.epoch == epoch:
@@ -171,7 +174,7 @@
     return replace(
         holder,
         pending_requests=dict(holder.pending_requests),
-        deposits={place: list(rows) for place, rows in holder.deposits.items()},
+        deposits={process: list(amounts) for process, amounts in holder.deposits.items()},
     )
 
 
@@ -181,7 +184,7 @@
         response_times=dict(grantor.response_times),
         latest_request=dict(grantor.latest_request),
         deposits=dict(grantor.deposits),
-        grants={name: list(rows) for name, rows in grantor.grants.items()},
+        grants={name: list(amounts) for name, amounts in grantor.grants.items()},
         demands=dict(grantor.demands),
     )
 
@@ -189,10 +192,10 @@
 def initial_state(
     senders: int, grantors: int, max_crashes: int, max_duplicates: int, after_first_response: bool = False
 ) -> LeaseState:
-    """Return a state in which all processes start at once.
+    """Return a state in which all processes have just started.
 
-    `after_first_response`: each holder has had a first response of the first grantor, and what a process before it
-    may have deposited has expired.
+    With `after_first_response`, each holder has a response from the first grantor, and any deposits of its previous
+    process have expired.
     """
     started_at = -PARAMETERS.deposit_ms if after_first_response else 0.0
     state = LeaseState(
--- a/kestreltrack/testing/model_checking/quota_leases/steps.py
+++ b/kestreltrack/testing/model_checking/quota_leases/steps.py
@@ -1,4 +1,4 @@
-"""Everything that may happen next in a state of the search."""
+"""The transitions of the model: every step that is possible in a state."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from kestreltrack.fleet.quota_leases import LeaseGrantor, LeaseHolder, QuotaLeaseRequest
 from kestreltrack.testing.model_checking.quota_leases.state import PARAMETERS, LeaseState
 
-# What happened, and to whom.
+# The kind of step, followed by the processes that take part in it.
 Step = tuple[str, ...]
 NextState = tuple[Step, LeaseState]
 
 
 @dataclass(frozen=True, slots=True)
 class StepLimits:
-    """What may happen.
+    """Bounds on the steps.
 
-    The first holder demands everything or nothing, from request to request, the others always everything: so it is
-    the one whose quota is lent.
+    Each request of the first holder demands the whole budget or nothing, so its quota can be lent to the others,
+    which always demand the whole budget.
 
     Attributes:
-        max_in_flight: The most messages in flight at once.
-        responses_may_be_late: Whether responses may be late, as requests may.
+        max_in_flight: The maximum number of messages in flight.
+        responses_may_be_late: Whether responses may be delayed, as requests may.
     """
 
     max_in_flight: int = 1
@@ -35,10 +35,9 @@
 
 
 def next_states(state: LeaseState, limits: StepLimits, restart: RestartStep) -> Iterator[NextState]:
-    """Yield everything that may happen next, with the state after it.
+    """Yield every possible step with the state that follows it.
 
-    A request that has its response within the same instant is one step: without it the same states are reached in
-    three.
+    An immediate exchange of request and response is a single step, where the separate steps would take three.
     """
     after = state.copy()
     after.now += 1.0
@@ -68,7 +67,7 @@
 
 
 def _late_request_steps(state: LeaseState, limits: StepLimits, may_delay: bool) -> Iterator[NextState]:
-    """Yield the loss, the arrival and the repeated arrival of each request in flight."""
+    """Yield the loss, the arrival and the duplication of each request in flight."""
     for n, (holder, grantor, request) in enumerate(state.requests_in_flight):
         after = state.copy()
         del after.requests_in_flight[n]
@@ -76,10 +75,10 @@
         arrived = after.copy(holder, grantor)
         yield from _arrival_steps(arrived, holder, grantor, request, limits.responses_may_be_late)
         if state.duplicates_left:
-            repeated = state.copy(holder, grantor)
-            repeated.duplicates_left -= 1
+            duplicated = state.copy(holder, grantor)
+            duplicated.duplicates_left -= 1
             may_delay_response = may_delay and limits.responses_may_be_late
-            yield from _arrival_steps(repeated, holder, grantor, request, may_delay_response)
+            yield from _arrival_steps(duplicated, holder, grantor, request, may_delay_response)
 
 
 def _late_response_steps(state: LeaseState) -> Iterator[NextState]:
@@ -106,7 +105,7 @@
 def _arrival_steps(
     state: LeaseState, holder: int, grantor: int, request: QuotaLeaseRequest, may_delay: bool
 ) -> Iterator[NextState]:
-    """Yield the arrival of a request; its response comes at once, or later, or is lost and never arrives."""
+    """Yield the arrival of a request, with its response delivered at once or delayed; a lost one stays in flight."""
     names = (f"s{holder}", f"k{grantor}")
     response = state.grantors[grantor].handle_request(state.now, names[0], request)
     if response is None:
@@ -122,7 +121,9 @@
 
 
 def restart_process(state: LeaseState, holder: int) -> None:
-    """End the process of a holder, and start the next one in the same instant."""
-    before = state.holders[holder]
-    state.holders[holder] = LeaseHolder(PARAMETERS, before.own_quota, state.now, seq=before.seq)
-    state.responses_in_flight = [row for row in state.responses_in_flight if row[0] != holder]
+    """Replace the process of a holder by a new one at the same time."""
+    previous = state.holders[holder]
+    state.holders[holder] = LeaseHolder(PARAMETERS, previous.own_quota, state.now, seq=previous.seq)
+    state.responses_in_flight = [
+        in_flight for in_flight in state.responses_in_flight if in_flight[0] != holder
+    ]
