--- a/kestreltrack/testing/model_checking/replicated_config/__init__.py
+++ b/kestreltrack/testing/model_checking/replicated_config/__init__.py
@@ -1,11 +1,12 @@
-"""Search over all interleavings of the replicated configuration's transitions, to a depth.
+"""Bounded model checker for the replicated configuration: explores all interleavings of transitions up to a depth.
 
-The transitions (`fleet/replicated_config/protocol.py`) are the code that senders run.  Any sender may request a lease
-of any other, receive a change, or not, at any moment: that covers every partition between them, one-way ones too.  A
-pause is a sender that does nothing while time passes.  Clocks deviate as far as the parameters allow: the ones of the
-first sender and of the coordinator are fast, the one of the last sender is slow.
+The transitions are the production code in `fleet/replicated_config/protocol.py`.  Any sender may request a lease from
+any other or receive a change at any time, or never, which covers every partition, including one-way ones.  A paused
+sender is one that takes no step while time passes.  Clocks deviate as far as the parameters allow: those of the first
+sender and of the coordinator are fast, that of the last sender is slow.
 
-In each state no two senders act on versions that contradict, and none on something older than before.
+The invariants, in every state: no two senders act on contradictory versions, and no sender acts on an older version
+than before.
 """
 
 from __future__ import annotations
--- a/kestreltrack/testing/model_checking/replicated_config/search.py
+++ b/kestreltrack/testing/model_checking/replicated_config/search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search and random walks over the states, and whether a state converges."""
+"""Breadth-first search and random walks of the state space, and the check for convergence."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     restart_process,
 )
 
-# Time passes in this fraction of the steps of a random walk: else leases would hardly ever expire in it.
+# The probability that a step of a random walk lets time pass; leases would rarely expire with a uniform choice.
 TIME_STEP_PROBABILITY = 0.2
-# More rounds without loss than any state needs to converge.
+# Any state converges within fewer rounds without message loss.
 CONVERGENCE_ROUNDS = 12
 NOT_CONVERGING = "it does not converge"
 
@@ -27,9 +27,9 @@
     """Bounds on a search.
 
     Attributes:
-        max_in_flight: The most messages in flight at once.
-        max_states: The most states; further ones are left out.
-        convergence_check_interval: One of this many states is checked for convergence; 0: none.
+        max_in_flight: The maximum number of messages in flight.
+        max_states: The maximum number of states; states beyond it are not explored.
+        convergence_check_interval: One in this many states is checked for convergence; 0 disables the check.
     """
 
     max_in_flight: int = 1
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationSearchResult:
-    """How far a search went, and the steps to the first violation, if any.
+    """The extent of a search, and the trace to the first violation, if any.
 
     Attributes:
-        states: How many states it reached.
-        depth: How many steps deep it went.
-        violation: What is wrong with the last state of `trace`; empty where nothing is.
-        trace: The steps to the violation; all steps of a random walk.
-        max_committed_revision: The newest revision that was committed in any state.
+        states: The number of distinct states reached; the number of steps for a random walk.
+        depth: The length of the longest trace explored.
+        violation: A description of the violation in the last state of `trace`; empty if there is none.
+        trace: The steps to the violation, or all steps of a random walk; empty for a search without a violation.
+        max_committed_revision: The highest committed revision; 0 where a violation cut the search or walk short.
     """
 
     states: int
@@ -60,19 +60,19 @@
 
 
 def converges(state: ReplicationState, rounds: int = CONVERGENCE_ROUNDS) -> bool:
-    """Return whether all senders act on the last proposal once no message is lost any more."""
+    """Return whether all senders act on the last proposed revision after rounds without message loss."""
     after = state.copy_all()
     for _ in range(rounds):
         _run_lossless_round(after)
         if after.violation():
             return False
         after.now += 1.0
-    last_proposal = after.commit_record.prepared.revision
-    return all(revisions == {last_proposal} for revisions in after.readable_revisions())
+    last_proposed = after.commit_record.prepared.revision
+    return all(revisions == {last_proposed} for revisions in after.readable_revisions())
 
 
 def _run_lossless_round(state: ReplicationState) -> None:
-    """Let all senders learn of the record and renew their leases, and let a coordinator count their promises."""
+    """Deliver the record to all senders, renew their leases, and deliver their promises to a coordinator."""
     record = state.commit_record
     if state.coordinator is None or state.coordinator.version != record.prepared:
         state.coordinator = CommitCoordinator(PARAMETERS, state.replicas[0].voters, record.prepared)
@@ -98,12 +98,12 @@
     limits: SearchLimits = DEFAULT_LIMITS,
     restart: RestartStep = restart_process,
 ) -> ReplicationSearchResult:
-    """Search breadth first, each state once, to a violation, which is then a shortest one.
+    """Explore each state once, breadth first, and stop at the first violation, whose trace is a shortest one.
 
     Args:
-        initial: The first state.
-        depth: The most steps from it.
-        limits: The other bounds on the search.
+        initial: The initial state.
+        depth: The maximum number of steps from it.
+        limits: Further bounds on the search.
         restart: Restarts the process of a sender.
     """
     seen = {initial.canonical_key()}
@@ -141,14 +141,14 @@
     max_in_flight: int = 2,
     restart: RestartStep = restart_process,
 ) -> ReplicationSearchResult:
-    """Follow one long trace drawn by the seed, far deeper than a search goes."""
-    draw = random.Random(seed)
+    """Follow one random trace, which may be far longer than the depth that a search reaches."""
+    rng = random.Random(seed)
     state = initial.copy_all()
     trace = list[Step]()
     for _ in range(length):
         choices = list(next_states(state, max_in_flight, restart))
-        # The first choice is that time passes.
-        step, state = choices[0] if draw.random() < TIME_STEP_PROBABILITY else draw.choice(choices)
+        # The first choice lets time pass.
+        step, state = choices[0] if rng.random() < TIME_STEP_PROBABILITY else rng.choice(choices)
         trace.append(step)
         violation = state.violation()
         if violation:
--- a/kestreltrack/testing/model_checking/replicated_config/state.py
+++ b/kestreltrack/testing/model_checking/replicated_config/state.py
@@ -1,4 +1,4 @@
-"""One state of the search: the senders, the store, the coordinator, the messages in flight, and the time."""
+"""A state of the model: the senders, the store, the coordinator, the messages in flight and the time."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
 )
 from kestreltrack.fleet.replicated_config.version import Version
 
-# A lease of two steps of time, and clocks that deviate so far that it matters within few steps.
+# A time step is 1 ms: leases expire, and the clocks diverge noticeably, within a few steps.
 PARAMETERS = ReadLeaseParameters(lease_ms=2.0, lease_check_ms=0.0, clock_drift=1.0 / 3.0, max_stop_ms=10.0)
 FAST_CLOCK_RATE = 1.0 + PARAMETERS.clock_drift
 SLOW_CLOCK_RATE = 1.0 - PARAMETERS.clock_drift
-# The senders of a search have run for longer than any lease lasts.
+# Long enough ago that all leases granted by previous processes have expired.
 STARTED_AT_MS = -100.0
-# A request that is not remembered any more was made so long ago.
+# The assumed time of a request that its sender no longer remembers.
 FORGOTTEN_AT_MS = -1e9
-# Times are compared to this many digits, since sums of them are rounded.
+# Times are rounded to this many decimal places for comparison, which hides floating-point error.
 TIME_DIGITS = 3
 
 
 def version(revision: int) -> Version:
-    """Return a version of the only epoch."""
+    """Return the version of a revision; the model has a single epoch."""
     return Version(1, revision)
 
 
 @dataclass(slots=True)
 class ReplicationState:
-    """One state.  All senders are voters; a sender is given by its index.
+    """A state; all senders are voters and are identified by their index.
 
     Attributes:
         now: The true time in milliseconds.
-        replicas: The senders.
+        replicas: The protocol state of each sender.
         commit_record: The record in the store.
-        coordinator: The coordinator, if there is one.
-        compatible_revisions: The revisions that are compatible with the one before; all others contradict each other.
-        max_revision: The last revision that is proposed.
-        crashes_left: How many senders and coordinators may still crash.
-        duplicates_left: How many messages may still be repeated.
-        responses_in_flight: The sender that a response is for, the voter that it is of, and the response.
-        requests_in_flight: The sender that a request is of, the voter that it is for, and the request.
-        changes_in_flight: The sender that a change is for, and the change.
-        promises_in_flight: The sender that a promise is of, and the promise.
+        coordinator: The current coordinator, if any.
+        compatible_revisions: The revisions that are compatible with their predecessor; any other two contradict.
+        max_revision: The highest revision that may be proposed.
+        crashes_left: The number of crashes that may still occur.
+        duplicates_left: The number of messages that may still be duplicated.
+        responses_in_flight: The receiving sender, the responding voter and the response.
+        requests_in_flight: The requesting sender, the receiving voter and the request.
+        changes_in_flight: The receiving sender and the change.
+        promises_in_flight: The promising voter and the promise.
         last_acted_on: The newest version that each sender has acted on.
     """
 
@@ -71,7 +71,7 @@
     last_acted_on: list[Version] = field(default_factory=list)
 
     def clock(self, sender: int) -> float:
-        """Return the time by a sender's own clock."""
+        """Return the time of a sender's clock."""
         if sender == 0:
             return self.now * FAST_CLOCK_RATE
         if sender == len(self.replicas) - 1:
@@ -79,11 +79,11 @@
         return self.now
 
     def coordinator_clock(self) -> float:
-        """Return the time by the coordinator's clock."""
+        """Return the time of the coordinator's clock."""
         return self.now * FAST_CLOCK_RATE
 
     def messages_in_flight(self) -> int:
-        """Return how many messages are in flight."""
+        """Return the number of messages in flight."""
         return (
             len(self.responses_in_flight)
             + len(self.requests_in_flight)
@@ -94,7 +94,7 @@
     # Copies
 
     def copy(self, *changed: int) -> ReplicationState:
-        """Return a copy of which the senders `changed`, and all else but other senders, may be changed."""
+        """Return a copy that may be modified, except for the replicas not in `changed`: it shares them."""
         return replace(
             self,
             replicas=[
@@ -110,20 +110,20 @@
         )
 
     def copy_all(self) -> ReplicationState:
-        """Return a copy of which all may be changed."""
+        """Return a copy that shares no mutable state with this one."""
         return self.copy(*range(len(self.replicas)))
 
-    # Properties that hold in each state
+    # Invariants
 
     def readable_revisions(self) -> list[frozenset[int]]:
-        """Return the revisions whose intersection each sender acts on; none for one without a lease."""
+        """Return the revisions whose intersection each sender acts on; an empty set for a sender without a lease."""
         versions = [
             replica.readable_versions(self.clock(sender)) for sender, replica in enumerate(self.replicas)
         ]
         return [frozenset(readable.revision for readable in pair or ()) for pair in versions]
 
     def violation(self) -> str:
-        """Return what is wrong with this state, if anything; call once, as it records what each sender acts on."""
+        """Describe the violated invariant, if any, and record what each sender acts on, so call once a state."""
         readable = self.readable_revisions()
         for (sender, one), (other_sender, other) in combinations(enumerate(readable), 2):
             if one and other and self._contradict(one, other):
@@ -140,7 +140,7 @@
     def _contradict(self, one: frozenset[int], other: frozenset[int]) -> bool:
         """Return whether two senders contradict each other.
 
-        An intersection does only what both of its documents allow, so one document in common is enough.
+        A sender does only what every document of its intersection allows, so one compatible pair is enough.
         """
         return not any(self._is_compatible(a, b) for a in one for b in other)
 
@@ -149,13 +149,13 @@
             return True
         return abs(one - other) == 1 and max(one, other) in self.compatible_revisions
 
-    # Identity
+    # Equivalence of states
 
     def canonical_key(self) -> tuple[object, ...]:
-        """Return what distinguishes this state from others.
+        """Return a key that is equal for equivalent states.
 
-        Times are relative to now, and what has expired is left out: states that differ only by how long they have
-        lasted are one.
+        Times are relative to the current time and expired entries are omitted, so states that differ only by a shift
+        in time are equivalent.
         """
         record = (self.commit_record.committed, self.commit_record.prepared, self.commit_record.settled)
         return (
@@ -171,13 +171,13 @@
         replica = self.replicas[sender]
         now = self.clock(sender)
         own_leases = sorted(
-            (voter, round(at - now, TIME_DIGITS))
-            for voter, at in replica.lease_request_times.items()
-            if now - at < PARAMETERS.lease_ms
+            (voter, round(requested_at - now, TIME_DIGITS))
+            for voter, requested_at in replica.lease_request_times.items()
+            if now - requested_at < PARAMETERS.lease_ms
         )
         issued_leases = sorted(
-            (name, round(expires_at - now, TIME_DIGITS), on)
-            for name, (expires_at, on) in replica.issued_leases.items()
+            (name, round(expires_at - now, TIME_DIGITS), leased_version)
+            for name, (expires_at, leased_version) in replica.issued_leases.items()
             if expires_at > now
         )
         knows_all_leases_at = replica.started_at + PARAMETERS.certain_expiry_ms
@@ -196,8 +196,8 @@
         if coordinator is None:
             return None
         promises = sorted(
-            (voter, max(-PARAMETERS.certain_expiry_ms, round(at - now, TIME_DIGITS)))
-            for voter, at in coordinator.promised_at.items()
+            (voter, max(-PARAMETERS.certain_expiry_ms, round(first_promise_at - now, TIME_DIGITS)))
+            for voter, first_promise_at in coordinator.promised_at.items()
         )
         return (
             coordinator.version,
@@ -221,7 +221,7 @@
         return (tuple(responses), tuple(requests), tuple(changes), tuple(promises))
 
     def _request_age(self, sender: int, seq: int) -> float:
-        """Return how long ago a request was made; the length of a lease where it is over."""
+        """Return the age of a request, at most the duration of a lease."""
         requested_at = self.replicas[sender].pending_requests.get(seq, FORGOTTEN_AT_MS)
         age = self.clock(sender) - requested_at
         return round(age, TIME_DIGITS) if age < PARAMETERS.lease_ms else PARAMETERS.lease_ms
@@ -251,7 +251,7 @@
     max_crashes: int = 1,
     max_duplicates: int = 1,
 ) -> ReplicationState:
-    """Return a state in which revision 1 is in force, and each sender has a lease on it."""
+    """Return a state in which revision 1 is committed and each sender has a lease on it."""
     first = version(1)
     voters = frozenset(f"s{sender}" for sender in range(senders))
     stored = PersistentState(first, first)
@@ -280,7 +280,7 @@
 
 
 def prepared_by_majority(state: ReplicationState) -> ReplicationState:
-    """Return an initial state after a majority of the voters has acknowledged revision 2."""
+    """Return the state that follows an initial state once a majority of voters has acknowledged revision 2."""
     after = state.copy_all()
     committed = after.commit_record.committed
     change = PreparedChange(version(2), committed)
--- a/kestreltrack/testing/model_checking/replicated_config/steps.py
+++ b/kestreltrack/testing/model_checking/replicated_config/steps.py
@@ -1,4 +1,4 @@
-"""Everything that may happen next in a state of the search."""
+"""The transitions of the model: every step that is possible in a state."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     version,
 )
 
-# What happened, and to whom.
+# The kind of step, followed by its senders or its revision, if any.
 Step = tuple[str, ...]
 Message = TypeVar("Message")
 NextState = tuple[Step, ReplicationState]
@@ -21,20 +21,19 @@
 
 
 def restart_process(state: ReplicationState, sender: int) -> None:
-    """End the process of a sender, and start the next one in the same instant with the state that was stored."""
-    before = state.replicas[sender]
+    """Replace the process of a sender by a new one at the same time, which loads the persistent state."""
+    previous = state.replicas[sender]
     state.replicas[sender] = ConfigReplica(
-        PARAMETERS, before.state, before.voters, state.clock(sender), seq=before.seq
+        PARAMETERS, previous.state, previous.voters, state.clock(sender), seq=previous.seq
     )
 
 
 def next_states(
     state: ReplicationState, max_in_flight: int, restart: RestartStep = restart_process
 ) -> Iterator[NextState]:
-    """Yield everything that may happen next, with the state after it.
+    """Yield every possible step with the state that follows it.
 
-    A message that arrives at once is one step with the one that it responds to.  At most `max_in_flight` messages
-    are in flight at once.
+    An immediate response is part of the step of its request.  At most `max_in_flight` messages are in flight.
     """
     after = state.copy()
     after.now += 1.0
@@ -63,7 +62,7 @@
 
 
 def _request_steps(state: ReplicationState, may_delay: bool) -> Iterator[NextState]:
-    """Yield the requests for leases; a sender that requests one of another grants itself one as well."""
+    """Yield the lease requests; a sender that requests a lease from another one also requests it from itself."""
     for sender in range(len(state.replicas)):
         for voter in range(len(state.replicas)):
             if voter != sender:
@@ -93,12 +92,12 @@
 
 
 def _record_steps(state: ReplicationState) -> Iterator[NextState]:
-    """Yield the changes of the record in the store, and new coordinators."""
+    """Yield the updates of the record in the store, and the starts of new coordinators."""
     record = state.commit_record
     revision = record.prepared.revision
     voters = state.replicas[0].voters
     if revision < state.max_revision:
-        # Also in the place of a change that has not been committed.
+        # This may replace a prepared change that has not been committed.
         proposed = record.prepare(record.committed, version(revision + 1))
         if proposed:
             after = state.copy()
@@ -121,16 +120,16 @@
 
 
 def _change_steps(state: ReplicationState, may_delay: bool) -> Iterator[NextState]:
-    """Yield what senders learn of the record, and the promises that follow."""
+    """Yield the delivery of commits and prepared changes to senders, and the resulting promises."""
     record = state.commit_record
     change = PreparedChange(record.prepared, record.committed)
-    is_under_way = change.version != record.committed
+    is_uncommitted = change.version != record.committed
     for sender, replica in enumerate(state.replicas):
         if replica.state.committed < record.committed:
             after = state.copy(sender)
             after.replicas[sender].commit(record.committed)
             yield ("learns of the commit", f"s{sender}"), after
-        if replica.state.acknowledged < change.version and is_under_way:
+        if replica.state.acknowledged < change.version and is_uncommitted:
             if may_delay:
                 late = state.copy()
                 late.changes_in_flight.append((sender, change))
@@ -145,7 +144,7 @@
 def _promise_steps(
     state: ReplicationState, sender: int, may_delay: bool, step_name: str
 ) -> Iterator[NextState]:
-    """Yield the promise of a sender, at once or in flight; one that is lost never arrives."""
+    """Yield the promise of a sender, delivered at once or delayed; a lost one stays in flight."""
     promise = state.replicas[sender].make_promise(state.clock(sender))
     if may_delay:
         late = state.copy()
@@ -158,40 +157,40 @@
 
 
 def _arrival_steps(state: ReplicationState) -> Iterator[NextState]:
-    """Yield the arrival of messages in flight; a message that is lost never arrives."""
-    yield from _arrivals(state, is_repeated=False)
+    """Yield the arrivals of messages in flight; a lost message stays in flight."""
+    yield from _arrivals(state, is_duplicated=False)
     if state.duplicates_left:
-        yield from _arrivals(state, is_repeated=True)
+        yield from _arrivals(state, is_duplicated=True)
 
 
-def _arrivals(state: ReplicationState, is_repeated: bool) -> Iterator[NextState]:
-    """Yield the arrival of each message in flight; one that is repeated remains in flight."""
+def _arrivals(state: ReplicationState, is_duplicated: bool) -> Iterator[NextState]:
+    """Yield the arrival of each message in flight; a duplicated one remains in flight."""
     for n, (sender, voter, response) in enumerate(state.responses_in_flight):
         after = state.copy(sender)
         after.replicas[sender].handle_response(after.clock(sender), f"s{voter}", response)
-        _consume_message(after, after.responses_in_flight, n, is_repeated)
+        _consume_message(after, after.responses_in_flight, n, is_duplicated)
         yield ("late response", f"s{sender}", f"s{voter}"), after
     for n, (sender, voter, request) in enumerate(state.requests_in_flight):
         after = state.copy(sender, voter)
-        answer = after.replicas[voter].handle_request(after.clock(voter), f"s{sender}", request)
-        after.replicas[sender].handle_response(after.clock(sender), f"s{voter}", answer)
-        _consume_message(after, after.requests_in_flight, n, is_repeated)
+        lease_response = after.replicas[voter].handle_request(after.clock(voter), f"s{sender}", request)
+        after.replicas[sender].handle_response(after.clock(sender), f"s{voter}", lease_response)
+        _consume_message(after, after.requests_in_flight, n, is_duplicated)
         yield ("late request", f"s{sender}", f"s{voter}"), after
     for n, (sender, change) in enumerate(state.changes_in_flight):
         after = state.copy(sender)
         after.replicas[sender].acknowledge(change)
-        _consume_message(after, after.changes_in_flight, n, is_repeated)
+        _consume_message(after, after.changes_in_flight, n, is_duplicated)
         yield ("late change", f"s{sender}"), after
     for n, (sender, promise) in enumerate(state.promises_in_flight):
         after = state.copy()
         if after.coordinator:
             after.coordinator.handle_promise(after.coordinator_clock(), f"s{sender}", promise)
-        _consume_message(after, after.promises_in_flight, n, is_repeated)
+        _consume_message(after, after.promises_in_flight, n, is_duplicated)
         yield ("late promise", f"s{sender}"), after
 
 
-def _consume_message(state: ReplicationState, messages: list[Message], n: int, is_repeated: bool) -> None:
-    if is_repeated:
+def _consume_message(state: ReplicationState, messages: list[Message], n: int, is_duplicated: bool) -> None:
+    if is_duplicated:
         state.duplicates_left -= 1
     else:
         del messages[n]
