--- a/kestreltrack/decision/evidence.py
+++ b/kestreltrack/decision/evidence.py
@@ -65,7 +65,7 @@
     destination.quota_lease = (event.share, event.until)
     for endpoint in destination.endpoints.values():
         if event.share and endpoint.limits[0].in_outage():
-            endpoint.end_pauses()
+            endpoint.end_breaker_pauses()
 
 
 def apply_health_report(state: DeliveryState, event: HealthReported) -> None:
--- a/kestreltrack/decision/records.py
+++ b/kestreltrack/decision/records.py
@@ -23,7 +23,7 @@
     def __init__(self, endpoint: Endpoint, started_at: float) -> None:
         self.endpoint = endpoint
         self.started_at = started_at
-        # The number of the attempt by message, of those whose attempts have not ended.
+        # The number of the current attempt of each message whose attempt has not ended.
         self.attempts = dict[str, int]()
         self.cancelled = set[str]()
         # Whether the end of one of its attempts was used as evidence of health: all share one outcome.
@@ -89,7 +89,7 @@
 
 
 class CircuitBreaker:
-    """Evidence of health, and the end of the pause after a failure; closed while there are no failures."""
+    """Evidence of health, and the time until which a failure blocks calls; closed without failures."""
 
     def __init__(self) -> None:
         self.consecutive_failures = 0
@@ -116,7 +116,7 @@
         self.arrivals_before = 0
 
     def set_credit(self, credit: float, now: float) -> None:
-        """Set the credit, which grows from now on."""
+        """Set the credit as of `now`, from which it continues to accrue."""
         self.saved_credit = credit
         self.credit_updated_at = now
 
@@ -168,11 +168,14 @@
         self.send_rate = send_rate
 
     def retry_after_active(self, now: float) -> bool:
-        """Return whether a retry-after applies; that of another caller outlasts the endpoints."""
+        """Return whether a retry-after applies, whether received here or by another caller.
+
+        The latter is kept at the destination, so that it outlives the endpoints.
+        """
         return now < max(self.retry_after_until, self.destination.retry_after_until)
 
     def in_outage(self) -> bool:
-        """Return whether there is an outage without a successful call since it began."""
+        """Return whether an outage has begun and no call has succeeded since."""
         breaker = self.breaker
         failing = breaker.consecutive_failures > 0
         return failing and self.slow_start.slow_start_from == breaker.last_failure_at
@@ -259,7 +262,7 @@
         self.connections = 0
         self.last_call_at = NEVER
         self.last_answer_at = NEVER
-        # Time between the starts of the last two calls.
+        # Time between the starts of the two latest calls.
         self.call_gap_ms = 0.0
         self.calls = dict[Call, None]()
 
@@ -278,8 +281,8 @@
         """Update the mean latency with that of a successful call."""
         self.mean_latency_ms = moving_average_from_first(self.mean_latency_ms, latency_ms, weight)
 
-    def end_pauses(self) -> None:
-        """Allow calls again that a pause after a failure blocks."""
+    def end_breaker_pauses(self) -> None:
+        """Let the circuit breakers allow trial calls now; their evidence of failures is kept."""
         for limits in self.limits:
             limits.breaker.open_until = NEVER
 
@@ -306,7 +309,7 @@
 
 
 class EndpointTable(dict[str, Endpoint]):
-    """The endpoints of a destination by name, in order of their arrival, and the selectable ones."""
+    """The endpoints of a destination by name, in the order in which they were listed, and the selectable ones."""
 
     # Cached result of `selectable`. It is derived from the endpoints, so no snapshot stores it.
     _selectable: list[Endpoint] | None = None
