--- a/kestreltrack/decision/state.py
+++ b/kestreltrack/decision/state.py
@@ -1,4 +1,4 @@
-"""The state of the decision module, with methods that add, move and remove records without a choice."""
+"""The state of the decision module, with methods that add, move and remove records but decide nothing."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class DeliveryState:
-    """The messages, calls and destinations of one sender, and the actions that are not yet taken."""
+    """The messages, calls and destinations of one sender, and the actions that have not been taken yet."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -55,7 +55,7 @@
         # Destinations with endpoints that have left the list.
         self.draining_destinations = set[int]()
         self.timer_is_set = False
-        # Whether service discovery reports changes without another poll.
+        # Whether service discovery reports changes without being polled again.
         self.subscribed = not settings.must_poll
         self.next_poll_at = NEVER
         self.poll_backoff_ms = 0.0
@@ -67,7 +67,7 @@
         self.now = now
 
     def destination(self, number: int) -> Destination:
-        """Return a destination, which is created if it is not known."""
+        """Return a destination, creating it if it is not known."""
         return self.destinations.setdefault(number, Destination())
 
     def enqueue(self, message: Message, number: int, key: int | None) -> None:
@@ -96,7 +96,7 @@
         heapq.heappush(self.expiry_heap, (at, message.sequence, message.id))
 
     def pop_due(self) -> Iterator[Message]:
-        """Yield the queued messages whose check is due; the end of an attempt schedules another one."""
+        """Yield the queued messages whose check is due; the end of an attempt in flight schedules its next."""
         while self.expiry_heap and self.expiry_heap[0][0] <= self.now:
             message = self.messages.get(heapq.heappop(self.expiry_heap)[2])
             if message is not None and message.id in message.destination.queued:
@@ -196,7 +196,7 @@
         return [endpoint] if endpoint and endpoint.listed and not endpoint.accepts_calls else []
 
     def _forget_removed_endpoints(self, number: int) -> None:
-        """Remove unlisted endpoints without calls and retry-after, as endpoints are replaced continually."""
+        """Remove unlisted endpoints without calls or retry-after, as endpoints are replaced continually."""
         destination = self.destinations.get(number, Destination())
         destination.endpoints = EndpointTable(
             (name, endpoint)
