--- a/benchmarks/outage_probing.py
+++ b/benchmarks/outage_probing.py
@@ -55,7 +55,7 @@
     """What is compared."""
     return {
         "trials": seen.probe_rate(world),
-        "first": float(seen.calls_after_return(world)),
+        "first": float(seen.calls_after_recovery(world)),
         "back": seen.recovery_ms(world) / 1000.0,
         "tipped": float(seen.overload_count),
         "pushed": seen.max_overload,
--- a/kestreltrack/testing/harness/outage_simulation.py
+++ b/kestreltrack/testing/harness/outage_simulation.py
@@ -1,8 +1,9 @@
 """Simulates, in virtual time, senders and a destination that has an outage and recovers.
 
 Each sender runs the production decision module and both roles of `fleet/outage_probing`.  The destination, the
-clients, the network between senders (`Links`) and membership are simulated; a failure or partition shows in the views
-after `DETECTION_MS`.  All random numbers derive from one seed.  Without cooperation each sender probes on its own.
+clients, the network between senders (`Links`) and membership are simulated; a failure or partition shows in the
+views of the members after `DETECTION_MS`.  All random numbers derive from one seed.  Without cooperation each sender
+probes on its own.
 """
 
 from __future__ import annotations
@@ -40,9 +41,10 @@
 from kestreltrack.sender.health_view import destination_health, unhealthy_destinations
 from kestreltrack.testing.harness.links import LinkFault, Links
 
-DETECTION_MS = 6_000.0  # docs/fleet-together.md: 8 members, no loss
+# Time until membership shows a failure, with 8 members and no loss; see docs/fleet-together.md.
+DETECTION_MS = 6_000.0
 TICK_MS = 100.0
-# With at most this many senders their budget shares are summed at every tick, else only at those of the first sender.
+# Up to this number of senders, their budget shares are summed at every tick; beyond it, at the first sender's only.
 EXACT_SUM_SENDERS = 12
 CLASS_SETTINGS = ClassSettings(
     latency_objective_ms=2_000, deadline_ms=20_000, idempotency=Idempotency.IDEMPOTENT
@@ -67,7 +69,7 @@
     cooperative: bool = True
     rate_per_s: float = 40.0
     load_share: float = 0.7
-    idle_share: float = 0.0  # share of the senders without messages until `up_at`
+    idle_share: float = 0.0  # share of the senders without messages before `up_at`
     down_at: float = 10_000.0
     up_at: float = 40_000.0
     ends_at: float = 60_000.0
@@ -96,13 +98,13 @@
             (scenario.up_at - start) / 1000.0
         )
 
-    def calls_after_return(self, scenario: OutageScenario, window_ms: float = 1000.0) -> int:
+    def calls_after_recovery(self, scenario: OutageScenario, window_ms: float = 1000.0) -> int:
         """Return the calls in the `window_ms` that begin with the first successful call after the outage."""
-        back = min(
+        first_success_at = min(
             (at for at, _, succeeded in self.calls if succeeded and at >= scenario.up_at),
             default=scenario.ends_at,
         )
-        return sum(back <= at < back + window_ms for at, _, _ in self.calls)
+        return sum(first_success_at <= at < first_success_at + window_ms for at, _, _ in self.calls)
 
     def recovery_ms(self, scenario: OutageScenario) -> float:
         """Return the time from the end of the outage to the first successful call."""
@@ -121,8 +123,8 @@
     def __init__(self, scenario: OutageScenario) -> None:
         """Start warm; the outage begins at `down_at`."""
         self.scenario = scenario
-        self.out_until = scenario.up_at
-        self.back_at = -1e9
+        self.outage_until = scenario.up_at
+        self.recovered_at = -1e9
         # Largest ratio of calls within the window to those that overload it, since the recovery.
         self.max_overload = 0.0
         self.overload_count = 0
@@ -130,24 +132,26 @@
 
     def serve(self, now: float) -> bool:
         """Receive a call; return whether it succeeds."""
-        if self.scenario.down_at <= now < self.out_until:
+        if self.scenario.down_at <= now < self.outage_until:
             return False
-        if now >= self.out_until > self.back_at:
-            self.back_at = now
+        if now >= self.outage_until > self.recovered_at:
+            self.recovered_at = now
             self._recent_calls.clear()
         self._recent_calls.append(now)
         window = SAFETY_LIMITS.overload_window_ms
         while self._recent_calls[0] <= now - window:
             self._recent_calls.popleft()
-        warmth = min(1.0, (now - self.back_at) / SAFETY_LIMITS.warm_up_ms)
-        capacity_share = SAFETY_LIMITS.cold_start_share + (1.0 - SAFETY_LIMITS.cold_start_share) * warmth
+        warm_up_progress = min(1.0, (now - self.recovered_at) / SAFETY_LIMITS.warm_up_ms)
+        capacity_share = (
+            SAFETY_LIMITS.cold_start_share + (1.0 - SAFETY_LIMITS.cold_start_share) * warm_up_progress
+        )
         overload = len(self._recent_calls) / (
             SAFETY_LIMITS.overload_factor * capacity_share * self.scenario.rate_per_s * window / 1000.0
         )
-        if self.back_at >= self.scenario.up_at:
+        if self.recovered_at >= self.scenario.up_at:
             self.max_overload = max(self.max_overload, overload)
         if overload >= 1.0 and now >= self.scenario.down_at:
-            self.out_until = now + self.scenario.overload_outage_ms
+            self.outage_until = now + self.scenario.overload_outage_ms
             self.overload_count = self.overload_count + 1
         return overload < 1.0
 
@@ -175,10 +179,10 @@
         self.attempt_counts: dict[str, int] = {}
         self.restart(0.0, 1, scenario.seed)
 
-    def restart(self, now: float, start: int, seed: int) -> None:
+    def restart(self, now: float, epoch: int, seed: int) -> None:
         """Replace the fleet components, as a restarted process would."""
-        self.participant = ProbingParticipant(now, start * 1_000_000, seed * 1000 + self.number)
-        self.coordinator = ProbingCoordinator(start)
+        self.participant = ProbingParticipant(now, epoch * 1_000_000, seed * 1000 + self.number)
+        self.coordinator = ProbingCoordinator(epoch)
 
     def budget_share(self, now: float) -> float:
         """Return the share of the cold-start budget that the sender may use."""
@@ -203,7 +207,8 @@
         self.views = {member.name: [m.name for m in self.members] for member in self.members}
         self.cut_off_members = set[str]()  # senders that cannot reach the destination, whatever its state
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order, self._ids = count(), count()
+        self._order = count()
+        self._ids = count()
         loaded = self.members[int(scenario.idle_share * scenario.senders) :]
         for member in self.members:
             entry = EndpointEntry("e1", 1, "plain", rate=scenario.rate_per_s)
@@ -289,9 +294,9 @@
             Outcome.OK if not unavailable else Outcome.TIMED_OUT if scenario.silent else Outcome.UNREACHABLE
         )
         event = AttemptEnded(action.id, attempt, action.endpoint, outcome, duration_ms, final=not unavailable)
-        self.schedule(started_at + duration_ms, lambda: self._ended(member, event))
+        self.schedule(started_at + duration_ms, lambda: self._end_attempt(member, event))
 
-    def _ended(self, member: OutageSender, event: AttemptEnded) -> None:
+    def _end_attempt(self, member: OutageSender, event: AttemptEnded) -> None:
         if member.alive:
             if event.final:
                 self._count_outcome("delivered")
