--- a/kestreltrack/cli/scenario.py
+++ b/kestreltrack/cli/scenario.py
@@ -106,7 +106,7 @@
     Exits with 1 if the complete scenario violates no rule.
     """
     from kestreltrack.testing.emulator.scenario import InvalidScenarioError
-    from kestreltrack.testing.scenario_runner.shrink import set_options, shrink
+    from kestreltrack.testing.scenario_runner.shrink import fault_overrides, shrink
 
     def violates(candidate: Scenario) -> bool:
         return _violates_rule(candidate, seed, rule, emulated)
@@ -120,7 +120,7 @@
     except InvalidScenarioError as error:
         raise usage_error(str(error)) from None
     other_overrides = [text for text in overrides or [] if not text.startswith(("fault=", "trouble="))]
-    print(_rerun_command(scenario, senders, seed, [*other_overrides, *set_options(smallest)]))
+    print(_rerun_command(scenario, senders, seed, [*other_overrides, *fault_overrides(smallest)]))
 
 
 def _violates_rule(scenario: Scenario, seed: int, rule: str, emulated: bool) -> bool:
--- a/tests/test_scenario_runner.py
+++ b/tests/test_scenario_runner.py
@@ -12,7 +12,7 @@
 from kestreltrack.testing.emulator.result import RunResult, run_scenario
 from kestreltrack.testing.emulator.scenario import InvalidScenarioError, Scenario, load_scenario
 from kestreltrack.testing.scenario_runner.process_run import process_runner
-from kestreltrack.testing.scenario_runner.shrink import set_options, shrink
+from kestreltrack.testing.scenario_runner.shrink import fault_overrides, shrink
 
 # Invariants that depend only on counts and order, so that a busy machine cannot violate them.
 TIMING_INDEPENDENT_INVARIANTS = {
@@ -191,7 +191,7 @@
     shrunk = shrink(loaded, still_fails, lambda text: None)
     assert [fault.between for fault in shrunk.fault] == [("s1", "partners")]
     assert len(shrunk.trouble) == 1
-    options = dict(text.split("=", 1) for text in set_options(shrunk))
+    options = dict(text.split("=", 1) for text in fault_overrides(shrunk))
     reloaded = load_scenario(
         str(write_scenario(tmp_path)), {key: json.loads(value) for key, value in options.items()}
     )
