--- a/kestreltrack/testing/fakes/destinations.py
+++ b/kestreltrack/testing/fakes/destinations.py
@@ -18,7 +18,7 @@
 # The service time of a call is drawn uniformly from this factor, plus up to the range, times the destination's mean.
 MIN_SERVICE_TIME_FACTOR = 0.6
 SERVICE_TIME_FACTOR_RANGE = 0.8
-# A failing call is answered sooner than one that executes.
+# A call that fails with 500 is answered sooner than one that executes.
 FAILURE_TIME_S = 0.01
 
 
@@ -85,7 +85,7 @@
         service_time_ms: The mean service time of a call.
         rate_limit: The calls per second that it accepts; 0 for no limit.
         cold_start_share: The share of the rate limit that it accepts directly after an outage.
-        warm_up_s: The time in which the accepted rate then rises to the limit.
+        warm_up_s: The time in which the accepted rate rises to the limit after an outage.
         max_batch_size: The maximum number of messages of a call.
         deduplication_window_s: The time for which a repeated idempotency key is not executed again.
         fault: The fault that is currently injected.
@@ -155,7 +155,7 @@
     malformed_input_errors = (ValueError, KeyError)
 
     def __init__(self, uid: str, destination: FakeDestination, rng: random.Random) -> None:
-        """Create an endpoint that starts listening in `listen`."""
+        """Create an endpoint, which does not listen until `listen` is called."""
         super().__init__()
         self.uid = uid
         self.destination = destination
