--- a/kestreltrack/decision/records.py
+++ b/kestreltrack/decision/records.py
@@ -282,7 +282,7 @@
         self.mean_latency_ms = moving_average_from_first(self.mean_latency_ms, latency_ms, weight)
 
     def end_breaker_pauses(self) -> None:
-        """Let the circuit breakers allow trial calls now; their evidence of failures is kept."""
+        """End the time for which failures block calls; the evidence of failures is kept."""
         for limits in self.limits:
             limits.breaker.open_until = NEVER
 
