--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from scenario import ScriptedServer, Streams
+from scripted_servers import ScriptedServer, Streams
 from test_connection_pool import with_endpoints
 
 from kestreltrack.decision import Outcome
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -8,7 +8,7 @@
 
 import pytest
 import uvloop
-from scenario import ScriptedServer
+from scripted_servers import ScriptedServer
 
 from kestreltrack.decision import Outcome
 from kestreltrack.endpoints.connection_pool import ConnectionPool
--- a/tests/test_http_transport.py
+++ b/tests/test_http_transport.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from scenario import ScriptedServer
+from scripted_servers import ScriptedServer
 from test_connection_pool import exchange, with_endpoints
 
 from kestreltrack import http1
--- a/tests/test_notifications.py
+++ b/tests/test_notifications.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from scenario import ScriptedServer
+from scripted_servers import ScriptedServer
 from test_connection_pool import with_endpoints
 
 from kestreltrack.http1 import HttpClient
